--- a/include/mulberryplank/base/errorkind.h
+++ b/include/mulberryplank/base/errorkind.h
@@ -21,7 +21,7 @@
 std::string_view toString(Outcome outcome);
 
 // Every way in which mulberryplank refuses or fails. The list is closed: each kind has one row in the table behind
-// errorAnswer(), and docs/CALLERS.md prints that table.
+// errorInfo(), and docs/CALLERS.md prints that table.
 enum class ErrorKind : std::uint8_t {
     // The caller's request.
     BadRequest,
@@ -67,7 +67,7 @@
 };
 
 // How an ErrorKind is answered to a caller.
-struct ErrorAnswer {
+struct ErrorInfo {
     ErrorKind kind;
     std::string_view name; // machine-readable, stable across versions
     int status; // HTTP status
@@ -77,7 +77,7 @@
 };
 
 // Returns the row of the table for `kind`. Every kind has one.
-const ErrorAnswer &errorAnswer(ErrorKind kind);
+const ErrorInfo &errorInfo(ErrorKind kind);
 
 // Returns the machine-readable name of `kind`.
 std::string_view toString(ErrorKind kind);
--- a/include/mulberryplank/base/eventthrottle.h
+++ b/include/mulberryplank/base/eventthrottle.h
@@ -22,19 +22,19 @@
     std::optional<std::uint64_t> pass(Instant now)
     {
         if (m_last != Instant {} && now - m_last < m_interval) {
-            ++m_keptBack;
+            ++m_suppressed;
             return std::nullopt;
         }
         m_last = now;
-        const std::uint64_t keptBack = m_keptBack;
-        m_keptBack = 0;
-        return keptBack;
+        const std::uint64_t suppressed = m_suppressed;
+        m_suppressed = 0;
+        return suppressed;
     }
 
 private:
     const Duration m_interval;
     Instant m_last {};
-    std::uint64_t m_keptBack = 0;
+    std::uint64_t m_suppressed = 0;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/state/accountconnections.h
+++ b/include/mulberryplank/state/accountconnections.h
@@ -20,13 +20,13 @@
     AccountConnections(const AccountConnections &) = delete;
     AccountConnections &operator=(const AccountConnections &) = delete;
 
-    // Counts one more connection of `account`. Returns false, and counts nothing, when it has `most` already.
-    bool tryAdd(const AccountName &account, std::size_t most)
+    // Counts one more connection of `account`. Returns false, and counts nothing, when it has `maxCount` already.
+    bool tryAdd(const AccountName &account, std::size_t maxCount)
     {
         Shard &shard = shardOf(account);
         const std::lock_guard lock(shard.mutex);
         std::size_t &count = shard.counts[account];
-        if (count >= most) {
+        if (count >= maxCount) {
             return false;
         }
         ++count;
--- a/include/mulberryplank/state/configstate.h
+++ b/include/mulberryplank/state/configstate.h
@@ -48,7 +48,7 @@
 
     // Applies those of the records that are new and returns their outcomes. Errors: NotReady when records before them
     // are missing; Conflict when they come from another log than what was applied.
-    Result<std::vector<EditOutcome>> learn(const ConfigNews &news);
+    Result<std::vector<EditOutcome>> applyUpdate(const ConfigUpdate &update);
 
     // Takes over a table from a snapshot. Conflict unless it is newer than what was applied, or when it comes from
     // another log.
@@ -79,11 +79,11 @@
     std::optional<EditOutcome> outcomeOf(const EditId &id) const;
 
     // Returns the records from `from` on, or nothing when they aren't kept any more or there are none yet.
-    std::optional<ConfigNews> newsSince(Offset from) const;
+    std::optional<ConfigUpdate> updateSince(Offset from) const;
 
     // Returns the services that edits from `from` on may have changed, each once, or nothing when that isn't known any
     // more: then it may be any.
-    std::optional<std::vector<ServiceName>> touchedSince(Offset from) const;
+    std::optional<std::vector<ServiceName>> servicesChangedSince(Offset from) const;
 
     // Returns the number of views kept.
     std::size_t viewCount() const;
@@ -102,23 +102,23 @@
     EditOutcome applyOne(Offset offset, const std::string &record);
     ServiceViewPtr buildView(const ServiceName &name) const;
     void rebuildView(const ServiceName &name);
-    std::vector<ServiceName> touchedBy(const std::string &record) const;
+    std::vector<ServiceName> servicesChangedBy(const std::string &record) const;
     Shard &shardOf(const ServiceName &name) const;
 
     // A service that the accepted edit at `offset` may have changed.
-    struct Touch {
+    struct ServiceChange {
         Offset offset = 0;
         ServiceName service;
     };
 
-    static constexpr std::size_t RememberedTouches = 4'096;
+    static constexpr std::size_t MaxServiceChanges = 4'096;
 
     // Guards the table, the tail and the touches. Taken before a shard's mutex, never after it.
     mutable std::shared_mutex m_tableMutex;
     ConfigTable m_table;
     RecordTail m_tail;
-    std::deque<Touch> m_touches; // complete from m_touchesFrom on
-    Offset m_touchesFrom = 0;
+    std::deque<ServiceChange> m_serviceChanges; // complete from m_serviceChangesFrom on
+    Offset m_serviceChangesFrom = 0;
 
     // Views of the services that were asked for.
     mutable std::array<Shard, ShardCount> m_shards;
--- a/include/mulberryplank/state/gatewaymetrics.h
+++ b/include/mulberryplank/state/gatewaymetrics.h
@@ -38,10 +38,10 @@
 
     // A request has ended after `latency`, with an error of ours or, without one, with a target's answer. An empty
     // route: none was found.
-    void noteRequest(const std::string &route, Outcome outcome, std::optional<ErrorKind> error, Duration latency);
+    void recordRequest(const std::string &route, Outcome outcome, std::optional<ErrorKind> error, Duration latency);
 
     // An attempt has ended after `latency`.
-    void noteAttempt(const ServiceName &service, const TargetName &target, AttemptResult result, Duration latency);
+    void recordAttempt(const ServiceName &service, const TargetName &target, AttemptResult result, Duration latency);
 
     // Writes the families requests_total, request_seconds, attempts_total and attempt_seconds.
     void write(MetricsText &metrics) const;
--- a/include/mulberryplank/state/grant.h
+++ b/include/mulberryplank/state/grant.h
@@ -42,27 +42,27 @@
     int retryAfterSeconds = 0;
 };
 
-using Admitted = tl::expected<Grant, Refusal>;
+using AdmissionResult = tl::expected<Grant, Refusal>;
 
 // An attempt in a service's queue. deliver() is called once, from any thread and without locks held, when the attempt
 // may start or has been refused.
 class Waiter : public boost::intrusive_ref_counter<Waiter>
 {
 public:
-    explicit Waiter(std::function<void(Admitted)> deliver)
+    explicit Waiter(std::function<void(AdmissionResult)> deliver)
         : m_deliver(std::move(deliver))
     {
     }
     Waiter(const Waiter &) = delete;
     Waiter &operator=(const Waiter &) = delete;
 
-    void deliver(Admitted admitted)
+    void deliver(AdmissionResult admitted)
     {
         m_deliver(std::move(admitted));
     }
 
 private:
-    std::function<void(Admitted)> m_deliver;
+    std::function<void(AdmissionResult)> m_deliver;
 };
 
 using WaiterPtr = boost::intrusive_ptr<Waiter>;
@@ -71,7 +71,7 @@
 // been released.
 struct Delivery {
     WaiterPtr waiter;
-    Admitted admitted;
+    AdmissionResult admitted;
 };
 
 using Deliveries = std::vector<Delivery>;
--- a/include/mulberryplank/state/latencyseries.h
+++ b/include/mulberryplank/state/latencyseries.h
@@ -15,7 +15,7 @@
     LatencySeries();
 
     // Counts one time.
-    void note(Duration span);
+    void record(Duration span);
 
     // Adds all that `other` has counted.
     LatencySeries &operator+=(const LatencySeries &other);
--- a/include/mulberryplank/state/requestmetrics.h
+++ b/include/mulberryplank/state/requestmetrics.h
@@ -17,7 +17,7 @@
     RequestMetrics &operator=(const RequestMetrics &) = delete;
 
     // Records one answered request: its whole time here, and the part of it that targets took.
-    void note(Duration total, Duration atTarget);
+    void record(Duration total, Duration atTarget);
 
     // Writes the histograms mulberryplank_request_seconds and mulberryplank_added_seconds (the whole time less the
     // targets' part).
--- a/include/mulberryplank/state/servicestate.h
+++ b/include/mulberryplank/state/servicestate.h
@@ -59,7 +59,7 @@
 };
 
 // How an attempt ended, as ServiceState::finish() needs it.
-struct Finished {
+struct FinishedAttempt {
     AttemptResult result = AttemptResult::Success;
     std::uint16_t route = NoRoute;
     Duration latency {}; // until the first byte of the answer, or until it failed
@@ -90,15 +90,15 @@
                                        Instant now);
 
     // Lets an attempt through at once, refuses it, or returns nothing and queues it: then `makeWaiter` was called for
-    // the waiter that will be told. `others` are for attempts that got their turn meanwhile.
-    std::optional<Admitted> admit(RequestId request,
-                                  const Admission &admission,
-                                  const std::function<WaiterPtr()> &makeWaiter,
-                                  Instant now,
-                                  Deliveries &others);
+    // the waiter that will be told. `otherDeliveries` are for attempts that got their turn meanwhile.
+    std::optional<AdmissionResult> admit(RequestId request,
+                                         const Admission &admission,
+                                         const std::function<WaiterPtr()> &makeWaiter,
+                                         Instant now,
+                                         Deliveries &otherDeliveries);
 
     // Gives a grant back.
-    [[nodiscard]] Deliveries finish(const Grant &grant, const Finished &finished, Instant now);
+    [[nodiscard]] Deliveries finish(const Grant &grant, const FinishedAttempt &finished, Instant now);
 
     // Takes a queued attempt back. Returns false when it is not queued: granted, refused or unknown.
     bool cancel(RequestId request, Instant now);
@@ -109,16 +109,16 @@
 
     // The retry budget and the latency that hedging goes by.
     bool spendRetry();
-    void noteAnswered();
-    void noteLatency(std::uint16_t route, Duration latency);
+    void recordResponse();
+    void recordLatency(std::uint16_t route, Duration latency);
 
-    // Marks targets on a VM that is leaving, and unmarks the others.
+    // Marks targets on a VM that is leaving, and unmarks the otherDeliveries.
     void setLeavingHosts(const std::vector<std::string> &hosts);
 
     // The result of a probe.
-    void noteProbe(
+    void recordProbe(
         TargetIndex target, bool leaving, bool cold, std::optional<std::uint32_t> reportedInFlight, Instant now);
-    void noteProbeFailed(TargetIndex target, Duration latency, Instant now);
+    void recordProbeFailure(TargetIndex target, Duration latency, Instant now);
 
     // The exchange of evidence with the other proxies that carry the service.
     void setPeers(const std::vector<PeerId> &peers, Instant now);
@@ -128,7 +128,7 @@
     // The exchange of demand and claims, by which limits hold for the fleet. Returns the report to send to the other
     // proxies that carry the service, if one is due.
     std::optional<DemandReport> demandReport(Instant now);
-    std::optional<DemandReport> leaveShares(Instant now);
+    std::optional<DemandReport> withdrawDemand(Instant now);
     void mergeDemand(const PeerId &peer, const DemandReport &report, Instant now);
 
     // Queries.
@@ -147,24 +147,24 @@
 private:
     struct TargetEntry;
     struct AccountEntry;
-    struct Pending;
+    struct PendingAttempt;
 
     void configureTargets(const std::vector<Target> &targets, Instant now);
     void configureAccounts(const std::vector<Row> &rows);
-    void setMostInFlight();
+    void setMaxInFlight();
     void applyShares(Instant now);
     void configureShares(Instant now);
     bool hasRoom(Instant now) const;
     double slotsInService() const;
     bool hasAllowedTarget(const Admission &admission) const;
     void start(RequestId request, Instant now, Deliveries &deliveries);
-    Admitted grantFor(RequestId request, const Pending &pending, Instant now);
+    AdmissionResult grantFor(RequestId request, const PendingAttempt &pending, Instant now);
     void dispatch(Instant now, Deliveries &deliveries);
     void refuseExpired(Instant now, Deliveries &deliveries);
     void refreshView(std::size_t index, Instant now);
     void refreshViews(Instant now);
-    void noteOutstanding(Instant now);
-    void noteOutcomeOf(const Grant &grant, const Finished &finished, Instant now);
+    void recordOutstanding(Instant now);
+    void recordOutcome(const Grant &grant, const FinishedAttempt &finished, Instant now);
     void logHealthEvents();
     Refusal refusal(ErrorKind kind, AccountIndex account, Instant now) const;
     std::vector<TargetState> targetStates() const;
@@ -179,8 +179,8 @@
     FairQueue m_queue;
     OverloadControl m_overload;
     std::optional<FleetShares> m_shares; // from the first configuration on
-    std::vector<VmName> m_carriers; // this process included
-    double m_ownPart = 1; // of the service's slots, while all of them are taken
+    std::vector<VmName> m_assignedProxies; // this process included
+    double m_ownFraction = 1; // of the service's slots, while all of them are taken
     Instant m_lastShed {}; // of any target
     RetryBudget m_retryBudget;
     std::mt19937_64 m_random;
@@ -190,8 +190,8 @@
     std::map<TargetIndex, std::size_t> m_positions; // of targets in m_targets
     std::unordered_map<AccountName, AccountEntry> m_accounts;
     AccountIndex m_nextAccount = 0;
-    std::unordered_map<RequestId, Pending> m_pending;
-    std::vector<RequestId> m_parked; // had their turn, and wait for a target that they may go to
+    std::unordered_map<RequestId, PendingAttempt> m_pending;
+    std::vector<RequestId> m_waitingForTarget; // had their turn, and wait for a target that they may go to
     std::map<std::uint16_t, HedgeDelay> m_hedgeDelays;
 };
 
--- a/src/base/metricstexttest.cpp
+++ b/src/base/metricstexttest.cpp
@@ -19,7 +19,7 @@
                  metrics.text().c_str());
 }
 
-TEST(MetricsText, ALabelCantEndItsQuotes)
+TEST(MetricsText, EscapesLabelValues)
 {
     MetricsText metrics;
     metrics.family("x", "gauge", "X.");
--- a/src/state/configstatequeries.cpp
+++ b/src/state/configstatequeries.cpp
@@ -74,22 +74,22 @@
     return m_table.outcomeOf(id);
 }
 
-std::optional<ConfigNews> ConfigState::newsSince(Offset from) const
+std::optional<ConfigUpdate> ConfigState::updateSince(Offset from) const
 {
     const std::shared_lock lock(m_tableMutex);
     return m_tail.since(from);
 }
 
-std::optional<std::vector<ServiceName>> ConfigState::touchedSince(Offset from) const
+std::optional<std::vector<ServiceName>> ConfigState::servicesChangedSince(Offset from) const
 {
     const std::shared_lock lock(m_tableMutex);
-    if (from < m_touchesFrom) {
+    if (from < m_serviceChangesFrom) {
         return std::nullopt;
     }
     std::set<ServiceName> names;
-    for (const Touch &touch : m_touches) {
-        if (touch.offset >= from) {
-            names.insert(touch.service);
+    for (const ServiceChange &change : m_serviceChanges) {
+        if (change.offset >= from) {
+            names.insert(change.service);
         }
     }
     return std::vector<ServiceName>(names.begin(), names.end());
--- a/src/state/configstatetest.cpp
+++ b/src/state/configstatetest.cpp
@@ -20,10 +20,11 @@
     Offset first = 0;
     std::vector<std::string> snapshots;
 
-    LogPage page(Offset from, std::size_t most) const
+    LogPage page(Offset from, std::size_t maxRecords) const
     {
         LogPage result { first, records.size(), {} };
-        for (Offset offset = std::max(from, first); offset < records.size() && result.records.size() < most; ++offset) {
+        for (Offset offset = std::max(from, first); offset < records.size() && result.records.size() < maxRecords;
+             ++offset) {
             result.records.push_back({ offset, records[offset] });
         }
         return result;
@@ -41,23 +42,24 @@
 };
 
 // What a proxy does with a page of the log, without the waiting.
-void readLog(ConfigState &state, const FakeLog &log, std::size_t most)
+void readLog(ConfigState &state, const FakeLog &log, std::size_t maxRecords)
 {
     const auto position = state.position();
-    const auto judgement = judgeLog(position.applied, position.last, log.page(verifyingOffset(position.applied), most));
-    RC_ASSERT(judgement.finding != LogFinding::WentBack);
-    RC_ASSERT(judgement.finding != LogFinding::Malformed);
-    if (judgement.finding == LogFinding::Expired) {
+    const auto logCheck =
+        checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), maxRecords));
+    RC_ASSERT(logCheck.finding != LogFinding::RolledBack);
+    RC_ASSERT(logCheck.finding != LogFinding::Malformed);
+    if (logCheck.finding == LogFinding::Expired) {
         if (auto table = log.newestSnapshot()) {
             (void)state.load(std::move(*table));
         }
         return;
     }
-    ConfigNews news { position.applied, position.last, {} };
-    for (const LogRecord &record : judgement.news) {
-        news.records.push_back(record.data);
+    ConfigUpdate update { position.applied, position.last, {} };
+    for (const LogRecord &record : logCheck.update) {
+        update.records.push_back(record.data);
     }
-    RC_ASSERT(state.learn(news).has_value());
+    RC_ASSERT(state.applyUpdate(update).has_value());
 }
 
 std::string digestOf(const ConfigState &state)
@@ -105,18 +107,18 @@
 {
     ConfigState m_state;
 
-    static ConfigNews newsOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
+    static ConfigUpdate updateOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
     {
         return { from, before, std::move(records) };
     }
 };
 
-TEST(ConfigState, everyRouteLeadsForwardToTheSameTable)
+TEST(ConfigState, everyUpdatePathConvergesToTheSameTable)
 {
     CHECK_TRUE(rc::check("proxies that read, hear, restart and publish in any order agree, and never go back", [] {
         constexpr std::size_t Proxies = 4;
         constexpr std::size_t TailBytes = 2'000;
-        const auto edits = drawLog();
+        const auto edits = generateLog();
         const auto number = rc::gen::resize(rc::kNominalSize, rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
         const auto steps = *rc::gen::resize(120, rc::gen::container<std::vector<std::uint32_t>>(number));
         FakeLog log;
@@ -125,11 +127,11 @@
             proxies.push_back(std::make_unique<ConfigState>(TailBytes));
         }
         for (const std::uint32_t step : steps) {
-            Draw draw(step);
-            const std::size_t self = draw.upTo(Proxies);
-            const std::size_t other = draw.upTo(Proxies);
+            NumberSource draw(step);
+            const std::size_t self = draw.below(Proxies);
+            const std::size_t other = draw.below(Proxies);
             const Offset before = proxies[self]->applied();
-            switch (draw.upTo(8)) {
+            switch (draw.below(8)) {
             case 0: // a restart forgets everything
                 proxies[self] = std::make_unique<ConfigState>(TailBytes);
                 break;
@@ -138,12 +140,12 @@
                 break;
             case 2: // records expire up to the newest snapshot
                 if (const auto table = log.newestSnapshot()) {
-                    log.first = std::max(log.first, draw.upTo(table->nextOffset() + 1));
+                    log.first = std::max(log.first, draw.below(table->nextOffset() + 1));
                 }
                 break;
             case 3: // a peer's records, of any age
-                if (const auto news = proxies[other]->newsSince(draw.upTo(log.records.size() + 1))) {
-                    (void)proxies[self]->learn(*news);
+                if (const auto update = proxies[other]->updateSince(draw.below(log.records.size() + 1))) {
+                    (void)proxies[self]->applyUpdate(*update);
                 }
                 break;
             case 4: // a peer's snapshot, of any age
@@ -154,7 +156,7 @@
                 });
                 break;
             case 5:
-                readLog(*proxies[self], log, 1 + draw.upTo(8));
+                readLog(*proxies[self], log, 1 + draw.below(8));
                 break;
             default:
                 for (std::size_t count = 0; count < 3 && log.records.size() < edits.size(); ++count) {
@@ -179,31 +181,31 @@
 
 // The log is made anew, or loses its tail and goes on with other records.
 // A reader that follows by offset alone would take up in the middle of a history that it has never seen.
-TEST(ConfigState, logThatLostItsTailIsToldAndNotFollowed)
+TEST(ConfigState, logThatLostItsTailIsDetectedAndNotApplied)
 {
     FakeLog log;
     log.records = { record("1", { { account("a"), false } }), record("2", { { account("b"), false } }) };
-    CHECK_TRUE(m_state.learn(newsOf(0, {}, log.records)).has_value());
+    CHECK_TRUE(m_state.applyUpdate(updateOf(0, {}, log.records)).has_value());
     log.records[1] = record("x", { { account("x"), false } });
     log.records.push_back(record("y", { { account("y"), false } }));
     const auto position = m_state.position();
-    const auto replaced = judgeLog(position.applied, position.last, log.page(verifyingOffset(position.applied), 9));
-    CHECK_TRUE(replaced.finding == LogFinding::WentBack);
-    CHECK_TRUE(judgeLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::WentBack);
+    const auto replaced = checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), 9));
+    CHECK_TRUE(replaced.finding == LogFinding::RolledBack);
+    CHECK_TRUE(checkLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::RolledBack);
 }
 
 // Some peers follow the log made anew, others the old one; the offsets meet.
 // Mixed records would give a table that no log ever held.
-TEST(ConfigState, peerOfAnotherLogIsNotFollowed)
+TEST(ConfigState, updateFromAnotherLogIsRejected)
 {
     const std::string first = record("1", { { account("a"), false } });
     const std::string foreign = record("x", { { account("x"), false } });
-    CHECK_TRUE(m_state.learn(newsOf(0, {}, { first })).has_value());
-    const auto apart = m_state.learn(newsOf(1, digestOfRecord(foreign), { foreign }));
-    CHECK_TRUE(apart.error().kind == ErrorKind::Conflict);
-    const auto overlapping = m_state.learn(newsOf(0, {}, { foreign, foreign }));
+    CHECK_TRUE(m_state.applyUpdate(updateOf(0, {}, { first })).has_value());
+    const auto disjoint = m_state.applyUpdate(updateOf(1, digestOfRecord(foreign), { foreign }));
+    CHECK_TRUE(disjoint.error().kind == ErrorKind::Conflict);
+    const auto overlapping = m_state.applyUpdate(updateOf(0, {}, { foreign, foreign }));
     CHECK_TRUE(overlapping.error().kind == ErrorKind::Conflict);
-    const auto gap = m_state.learn(newsOf(2, {}, { foreign }));
+    const auto gap = m_state.applyUpdate(updateOf(2, {}, { foreign }));
     CHECK_TRUE(gap.error().kind == ErrorKind::NotReady);
     LONGS_EQUAL(1, m_state.applied());
     ConfigTable foreignTable;
@@ -213,20 +215,20 @@
 }
 
 // A page answers with the records after a hole, for instance when the log's store lost some in the middle.
-TEST(ConfigState, pageWithAHoleIsNotApplied)
+TEST(ConfigState, pageWithAGapIsNotApplied)
 {
-    const auto judgement = judgeLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
-    CHECK_TRUE(judgement.finding == LogFinding::Malformed);
-    CHECK_TRUE(judgeLog(0, {}, { 0, 3, { { 1, "b" }, { 2, "c" } } }).finding == LogFinding::Malformed);
+    const auto logCheck = checkLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
+    CHECK_TRUE(logCheck.finding == LogFinding::Malformed);
+    CHECK_TRUE(checkLog(0, {}, { 0, 3, { { 1, "b" }, { 2, "c" } } }).finding == LogFinding::Malformed);
 }
 
-TEST(ConfigState, viewOutlivesTheEditThatReplacesIt)
+TEST(ConfigState, heldViewIsUnchangedByALaterEdit)
 {
-    CHECK_TRUE(m_state.learn(newsOf(0, {}, { record("1", { { service("s"), false } }) })).has_value());
+    CHECK_TRUE(m_state.applyUpdate(updateOf(0, {}, { record("1", { { service("s"), false } }) })).has_value());
     const auto before = m_state.service(ServiceName("s"));
     const auto position = m_state.position();
     const std::string edit = record("2", { { target("t", "s"), false } });
-    CHECK_TRUE(m_state.learn(newsOf(1, position.last, { edit })).has_value());
+    CHECK_TRUE(m_state.applyUpdate(updateOf(1, position.last, { edit })).has_value());
     LONGS_EQUAL(0, before->targets.size());
     LONGS_EQUAL(1, m_state.service(ServiceName("s"))->targets.size());
 }
--- a/src/state/requestmetrics.cpp
+++ b/src/state/requestmetrics.cpp
@@ -22,12 +22,12 @@
 
 } // namespace internal
 
-void RequestMetrics::note(Duration total, Duration atTarget)
+void RequestMetrics::record(Duration total, Duration atTarget)
 {
     Shard &shard = m_shards[internal::threadNumber() % ShardCount];
     const std::lock_guard lock(shard.mutex);
-    shard.total.note(total);
-    shard.added.note(std::max(Duration::zero(), total - atTarget));
+    shard.total.record(total);
+    shard.added.record(std::max(Duration::zero(), total - atTarget));
 }
 
 void RequestMetrics::write(MetricsText &metrics) const
--- a/src/state/servicestateentries.h
+++ b/src/state/servicestateentries.h
@@ -21,7 +21,7 @@
     TargetIndex index;
     Endpoint endpoint;
     ConcurrencyLimit limit;
-    bool leavingBySelf = false; // the target said so
+    bool leavingByOwnReport = false; // the target said so
     bool leavingByVmList = false;
     std::optional<std::uint32_t> reportedInFlight;
     Instant reportedAt {};
@@ -36,7 +36,7 @@
 };
 
 // An attempt between admit() and finish().
-struct ServiceState::Pending {
+struct ServiceState::PendingAttempt {
     Admission admission;
     AccountIndex account = 0;
     WaiterPtr waiter; // while queued
--- a/src/state/servicestatetest.cpp
+++ b/src/state/servicestatetest.cpp
@@ -60,7 +60,7 @@
         deliverAll(state.configure(proofService(), targetsOf(count), oneRow(), now));
     }
 
-    std::optional<Admitted> admit(std::vector<TargetIndex> excluded = {})
+    std::optional<AdmissionResult> admit(std::vector<TargetIndex> excluded = {})
     {
         Admission admission;
         admission.account = AccountName("shop");
@@ -68,7 +68,7 @@
         admission.deadline = now + Seconds(10);
         admission.excluded = std::move(excluded);
         const auto makeWaiter = [this] {
-            return WaiterPtr(new Waiter([this](Admitted admitted) {
+            return WaiterPtr(new Waiter([this](AdmissionResult admitted) {
                 if (admitted) {
                     delivered.push_back(*admitted);
                 } else {
@@ -76,15 +76,15 @@
                 }
             }));
         };
-        Deliveries others;
-        const auto admitted = state.admit(nextRequest++, admission, makeWaiter, now, others);
-        deliverAll(std::move(others));
+        Deliveries otherDeliveries;
+        const auto admitted = state.admit(nextRequest++, admission, makeWaiter, now, otherDeliveries);
+        deliverAll(std::move(otherDeliveries));
         return admitted;
     }
 
     void finish(const Grant &grant)
     {
-        Finished finished;
+        FinishedAttempt finished;
         finished.latency = Millis(4);
         finished.slotTime = Millis(4);
         deliverAll(state.finish(grant, finished, now));
@@ -92,7 +92,7 @@
 };
 
 // Failure: with as many callers as free slots, most requests were answered no-target although no target had shed.
-TEST(ServiceState, requestsBeyondTheRoomOfTargetsInSlowStartWait)
+TEST(ServiceState, requestsBeyondTheCapacityOfTargetsInSlowStartAreQueued)
 {
     configure(TargetCount - 1);
     deliverAll(state.tick(now));
@@ -116,7 +116,7 @@
 }
 
 // Failure: a request whose every target had failed it got its answer only at its deadline.
-TEST(ServiceState, attemptThatExcludesEveryTargetIsRefusedAtOnce)
+TEST(ServiceState, attemptThatExcludesEveryTargetIsRejectedImmediately)
 {
     configure(2);
     const TargetIndex one = (*admit())->target;
@@ -127,7 +127,7 @@
 }
 
 // Failure: a retry was refused although another target would have been free a moment later.
-TEST(ServiceState, retryWaitsForATargetThatItMayGoTo)
+TEST(ServiceState, retryWaitsForATargetThatItDoesNotExclude)
 {
     configure(2);
     std::vector<Grant> running;
