--- a/include/mulberryplank/policy/detector.h
+++ b/include/mulberryplank/policy/detector.h
@@ -11,17 +11,17 @@
 namespace mulberryplank
 {
 
-// Counts of latencies in classes whose bounds grow by a constant factor. The counts are weights, so that old ones can
-// fade. Latencies outside the range fall into the first or last class.
+// A histogram of latencies in buckets whose bounds grow by a constant factor. The counts are weights, so that old ones
+// can decay. Latencies outside the range fall into the first or last bucket.
 class LatencyHistogram
 {
 public:
     static constexpr std::size_t ClassCount = 64;
 
-    // Returns the class of `latency`, from 0.1 ms on, four classes for each doubling.
+    // Returns the bucket of `latency`. Buckets start at 0.1 ms, with four buckets for each doubling.
     static std::size_t classOf(Duration latency);
 
-    // Returns the latency in the middle of a class.
+    // Returns the latency in the middle of a bucket.
     static Duration middleOf(std::size_t latencyClass);
 
     void add(std::size_t latencyClass);
@@ -29,10 +29,10 @@
 
     float total() const;
 
-    // Returns the weight below a class, and half of the weight within it.
+    // Returns the weight below a bucket plus half of the weight within it.
     float below(std::size_t latencyClass) const;
 
-    // Returns the latency that the share `rank`, 0 to 1, of the weight doesn't exceed; 0 without weight.
+    // Returns the latency that the share `rank`, 0 to 1, of the weight doesn't exceed; 0 if there is no weight.
     Duration quantile(double rank) const;
 
 private:
@@ -40,12 +40,12 @@
     float m_total = 0;
 };
 
-// A cumulative sum of log likelihood ratios that never falls below zero: Page's test for the moment at which healthy
-// turns into sick.
+// A cumulative sum of log likelihood ratios that never falls below zero: Page's test, which detects the moment at which
+// a healthy target becomes faulty.
 class SequentialTest
 {
 public:
-    // `limit` keeps the time that it takes to come down again in bounds.
+    // `limit` bounds the sum, and with it the time that the sum takes to fall again.
     void add(double logLikelihoodRatio, double limit);
     void reset();
     double value() const;
@@ -54,67 +54,69 @@
     double m_value = 0;
 };
 
-// What a success and an error add to a test for a raised share of errors.
+// The steps that a success and an error add to a test for a raised share of errors.
 struct ErrorTestSteps {
     double success = 0;
     double error = 0;
 };
 
-// Returns the steps of the test of `sickShare` against `healthyShare` of errors, both above 0 and below 1.
+// Returns the steps of the test of `faultyShare` against `healthyShare` of errors. Both must be above 0 and below 1.
 ErrorTestSteps errorTestSteps(double healthyShare, double sickShare);
 
-// Returns what a latency at rank `rank` (the share of comparable latencies below it) adds to the test for slowness.
-// With ranks u of a healthy target spread evenly over 0 to 1 whatever the latencies' distribution, the test is of the
-// density k u^(k-1) against 1: heavy tails can't raise it, since the most that one answer adds is log k. `exponent` is
-// k, above 1: a small one suits a target that is somewhat slow, a large one a target that is very slow.
+// Returns what a latency at rank `rank` (the share of comparable latencies below it) adds to the test for slowness. The
+// ranks u of a healthy target are uniform over 0 to 1 whatever the distribution of latencies. The test compares the
+// density k u^(k-1) with the density 1. Heavy tails can't raise it, since one response adds log k at most. `exponent`
+// is k and must be above 1: a small value suits a target that is somewhat slow, a large value a target that is very
+// slow.
 double latencyTestStep(double rank, double exponent);
 
-// Turns the attempts of one process at one service's targets into a suspicion per target. The comparison is always
-// with the service's other targets over the same seconds and the same route. Not synchronized.
+// Turns the attempts of one process at one service's targets into a suspicion per target. Each target is always
+// compared with the service's other targets over the same seconds and the same route. Not synchronized.
 class Detector
 {
 public:
-    // Route classes that are told apart; further routes share the last one.
+    // Number of routes that are tracked separately; further routes share the last class.
     static constexpr std::size_t RouteClasses = 8;
 
     // No suspicion exceeds `limit`.
     explicit Detector(double limit);
 
-    // Makes room for a target with this index. Indices are given out in order.
+    // Adds the target with the next index. Indices are assigned in order.
     void addTarget();
 
-    // Forgets a target's evidence.
+    // Removes a target and its evidence.
     void removeTarget(TargetIndex target);
 
-    // Takes in an attempt; `latencyCounts` is false while the target may be slow for a good reason, such as a cold
-    // start. O(1).
+    // Records an attempt in O(1). `useLatency` is false while the target may be slow for a legitimate reason, such as a
+    // cold start.
     void observe(const Attempt &attempt, Instant now, bool latencyCounts);
 
-    // Takes in requests still waiting, as ServiceHealth::outstanding().
+    // Records requests that are still waiting. See ServiceHealth::observeOutstanding().
     void outstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now);
 
-    // Brings references up to date. To be called about 10 times a second.
+    // Updates the reference distributions. Must be called about 10 times a second.
     void tick(Instant now);
 
-    // Returns the log likelihood ratio of sick against healthy, 0 and up.
+    // Returns the log likelihood ratio of faulty against healthy, 0 or more.
     double suspicion(TargetIndex target) const;
 
-    // Returns the step that this attempt makes in the tests, without adding it anywhere: for trials.
+    // Returns the step of the slowness test for this attempt without recording it. Used for trials.
     double latencyStep(const Attempt &attempt) const;
 
-    // Returns how many attempts ended in about the last second.
+    // Returns the number of attempts that ended in about the last second.
     double recentAttempts(TargetIndex target) const;
 
-    // Returns the time of the last attempt or waiting request that counted.
+    // Returns the time of the last attempt or waiting request that was counted.
     Instant lastEvidence(TargetIndex target) const;
 
-    // Returns the mean latency of the target's recent successes, of the whole service's if it has none.
+    // Returns the mean latency of the target's recent successes, or that of the whole service if it has none.
     Duration expectedLatency(TargetIndex target) const;
 
-    // Starts the target's tests afresh and forgets how long it took to answer.
+    // Resets the target's tests and its mean latency.
     void reset(TargetIndex target);
 
-    // Starts all targets' tests afresh and lets old latencies count little: after a change of the whole service.
+    // Resets the tests of all targets and reduces the weight of old latencies. Used after a change that affects the
+    // whole service.
     void relearn();
 
 private:
@@ -135,8 +137,8 @@
         ErrorTestSteps someErrorsSteps;
         ErrorTestSteps wrongAnswersSteps;
         Counts counts;
-        double lately = 0; // attempts, fading within a second
-        double waiting = 0; // log likelihood ratio of the requests still waiting
+        double lately = 0; // decays within a second
+        double waiting = 0; // log likelihood ratio of the requests that are still waiting
         double meanLatency = 0; // seconds
         Instant lastEvidence {};
         Instant lastAnswer {};
@@ -150,7 +152,7 @@
     void fade();
 
     double m_limit;
-    std::vector<std::unique_ptr<Target>> m_targets; // empty for removed ones
+    std::vector<std::unique_ptr<Target>> m_targets; // null for removed targets
     std::array<LatencyHistogram, RouteClasses> m_latency; // of all targets
     LatencyHistogram m_allRoutes;
     Counts m_counts; // of all targets
--- a/include/mulberryplank/policy/evidence.h
+++ b/include/mulberryplank/policy/evidence.h
@@ -12,7 +12,7 @@
 namespace mulberryplank
 {
 
-// One process among the proxies that carry a service.
+// Identifies one process among the proxies that are assigned a service.
 struct PeerId {
     VmName vm;
     Incarnation incarnation = 0;
@@ -20,22 +20,22 @@
     auto operator<=>(const PeerId &) const = default;
 };
 
-// A PeerId in 64 bits, as reports name it.
+// A 64-bit hash of a PeerId, used in reports.
 using PeerKey = std::uint64_t;
 
-// Returns the key of `peer`: the same in every process.
+// Returns the key of `peer`, which is the same in every process.
 PeerKey peerKey(const PeerId &peer);
 
-// A target's name in 64 bits, as reports name it.
+// A 64-bit hash of a target's name, used in reports.
 using TargetId = std::uint64_t;
 
-// Returns the id of the target called `name`: the same in every process.
+// Returns the id of the target called `name`, which is the same in every process.
 TargetId targetId(const TargetName &name);
 
-// What one proxy has seen of one target lately.
+// Recent evidence of one proxy about one target.
 struct TargetEvidence {
     TargetId target = 0;
-    float suspicion = 0; // log likelihood ratio of sick against healthy, 0 and up
+    float suspicion = 0; // log likelihood ratio of faulty against healthy, 0 or more
     std::uint16_t attempts = 0; // finished in about the last second, capped
 
     bool operator==(const TargetEvidence &) const = default;
@@ -47,7 +47,7 @@
     }
 };
 
-// Says that a peer's report with this number arrived.
+// Confirms that a peer's report with this sequence number arrived.
 struct ReportAck {
     PeerKey peer = 0;
     std::uint32_t sequence = 0;
@@ -61,14 +61,14 @@
     }
 };
 
-// What one proxy tells the other proxies that carry the same service. Its size grows with the service's targets and
-// the proxies that carry it, never with the fleet.
+// The report of one proxy to the other proxies that are assigned the same service. Its size grows with the service's
+// targets and its assigned proxies, never with the fleet.
 struct EvidenceReport {
-    std::uint32_t sequence = 0; // counts the reports of one process; 1 is the first
-    std::vector<TargetEvidence> evidence; // targets without evidence are left out
-    std::vector<TargetId> claimed; // targets that the sender has ejected or wants to eject
-    std::vector<TargetId> unavailable; // targets that are leaving or cold in the sender's view
-    std::vector<ReportAck> acks; // the newest report of each peer that the sender has heard lately
+    std::uint32_t sequence = 0; // counts the reports of one process, starting at 1
+    std::vector<TargetEvidence> evidence; // targets without evidence are omitted
+    std::vector<TargetId> claimed; // targets that the sender has ejected or requests to eject
+    std::vector<TargetId> unavailable; // targets that the sender sees as leaving or cold
+    std::vector<ReportAck> acks; // the newest report of each peer that the sender received a report from recently
 
     bool operator==(const EvidenceReport &) const = default;
 
@@ -79,32 +79,32 @@
     }
 };
 
-// What all proxies together have seen of one target.
+// The combined evidence of all proxies about one target.
 struct JointView {
-    double suspicion = 0; // sum over the proxies, each one's part less its noise and limited
-    double largest = 0; // the largest part of one proxy in it
+    double suspicion = 0; // sum over the proxies; noise is subtracted from each one's part, and the rest is capped
+    double largest = 0; // the largest part of a single proxy
     std::size_t supporters = 0; // proxies that suspect it
-    std::size_t informed = 0; // proxies that have sent it requests lately
+    std::size_t informed = 0; // proxies that have sent it requests recently
 };
 
-// Keeps the newest evidence of each peer and adds it up. Not synchronized.
+// Keeps the newest evidence of each peer and combines it. Not synchronized.
 class JointEvidence
 {
 public:
-    // A peer's evidence counts for `lifetime` after its report came.
+    // A peer's evidence counts for `lifetime` after its report was received.
     explicit JointEvidence(Duration lifetime);
 
-    // Forgets the evidence of all peers but these.
+    // Discards the evidence of all peers that aren't in `peers`.
     void setPeers(const std::vector<PeerKey> &peers);
 
-    // Replaces the peer's evidence. Peers that setPeers() didn't name are ignored.
+    // Replaces the peer's evidence. Peers that weren't passed to setPeers() are ignored.
     void receive(PeerKey peer, const std::vector<TargetEvidence> &evidence, Instant now);
 
-    // Returns true if the peer's newest report says that it sends the target requests and finds it well.
+    // Returns true if, according to the peer's newest report, it sends requests to the target and observes no fault.
     bool findsWell(PeerKey peer, TargetId target, Instant now) const;
 
-    // Returns what this process (`own`) and the peers have seen of a target. No proxy's part of the sum exceeds
-    // `mostFromOne`; a proxy whose part is at least `leastSupport` is a supporter.
+    // Returns the combined evidence of this process (`own`) and its peers about a target. Each proxy's part of the sum
+    // is at most `maxPerProxy`. A proxy whose part is at least `minSupport` is a supporter.
     JointView view(const TargetEvidence &own, double mostFromOne, double leastSupport, Instant now) const;
 
 private:
@@ -117,7 +117,7 @@
     std::map<PeerKey, PeerEvidence> m_peers;
 };
 
-// The most entries that a list in a report may have. Reports beyond it are dropped whole.
+// Maximum number of entries in a list of a report. A report that exceeds it is dropped entirely.
 inline constexpr std::size_t MaxReportEntries = 4'096;
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/floor.h
+++ b/include/mulberryplank/policy/floor.h
@@ -13,90 +13,93 @@
 namespace mulberryplank
 {
 
-// Returns how many of `targets` ejection must leave in service.
+// Returns how many of `targets` must stay in service despite ejections.
 std::size_t floorOf(std::size_t targets, double share, std::uint32_t count);
 
 struct EjectionClaimsSettings {
-    Duration lease = Millis { 2'000 }; // how long an ejection lasts without being confirmed by the peers
-    Duration expiry = Millis { 5'000 }; // silence after which a peer holds no ejection; more than two leases
-    Duration linger = Millis { 15'000 }; // how long a peer that is no longer named still counts
+    Duration lease = Millis { 2'000 }; // how long an ejection lasts without confirmation by the peers
+    Duration expiry = Millis { 5'000 }; // no report for this long ends a peer's ejections; more than two leases
+    Duration linger = Millis { 15'000 }; // how long a peer still counts after setPeers() removed it
 };
 
-// Keeps the ejections of several proxies together within one floor, without a coordinator and with any loss, delay or
+//
+// Limits the combined ejections of several proxies to one floor. Needs no coordinator and tolerates any loss, delay or
 // one-way cut of their reports.
 //
-// A proxy announces a claim on a target in its reports. The claim takes effect once every peer has confirmed a report
-// that carried it, and only if all targets that any of them claims or calls unavailable leave the floor in service.
-// Whoever confirms a claim counts it from then on; so of any set of claims in effect, the one announced last was
-// checked against all others. A claim lasts for a lease after the newest report that every peer has confirmed; then it
-// is as if never made. A peer counts as gone only when it has been silent for more than two leases here and at every
-// other peer, and when the rest is a majority: by then its own claims have lapsed.
+// A proxy announces a claim on a target in its reports. The claim takes effect after every peer has confirmed a report
+// that contained it, and only if the floor stays in service without all targets that any proxy claims or reports as
+// unavailable. A proxy counts a claim from the moment it confirms it. So of any set of claims in effect, the one
+// announced last was checked against all others. A claim lasts for a lease after the newest report that every peer has
+// confirmed, and then has no effect. A peer counts as stopped only when neither this process nor any other peer has
+// received a report from it for more than two leases, and when the remaining proxies are a majority. By then its own
+// claims have expired.
 //
-// Holds while the proxies' views of who carries the service differ by one proxy at most; docs/pages/health.md names
-// what happens beyond that. Not synchronized.
+// The floor is guaranteed while the proxies' views of the service's assigned proxies differ by one proxy at most.
+// docs/pages/health.md describes what happens beyond that. Not synchronized.
 class EjectionClaims
 {
 public:
-    // How bad a target is; the larger, the sooner it is ejected.
+    // The severity of a target's fault. Targets with a larger value are ejected first.
     using Badness = std::function<double(TargetId)>;
 
     EjectionClaims(PeerKey self, EjectionClaimsSettings settings);
 
-    // Sets the other proxies that carry the service.
+    // Sets the other proxies that are assigned the service.
     void setPeers(const std::vector<PeerKey> &peers, Instant now);
 
-    // Takes in a peer's report; returns false if it is to be ignored.
+    // Processes a peer's report. Returns false if the report must be ignored.
     bool receive(PeerKey peer, const EvidenceReport &report, Instant now);
 
-    // Fills in sequence, claims, unavailable targets and confirmations of the next report, which is sent now.
+    // Sets the sequence, claims, unavailable targets and confirmations of the next report, which is sent at `now`.
     void fill(EvidenceReport &report, Instant now);
 
-    // Claims a target. Does nothing if it is claimed already.
+    // Claims a target. Does nothing if it is already claimed.
     void claim(TargetId target, Instant now);
 
-    // Gives a claim up.
+    // Withdraws a claim.
     void release(TargetId target);
 
-    // Returns true while the target may be ejected here.
+    // Returns true while this process may eject the target.
     bool holds(TargetId target) const;
 
-    // Returns true if the target is claimed, in effect or not.
+    // Returns true if this process claims the target, whether or not the claim is in effect.
     bool claims(TargetId target) const;
 
-    // Returns how many of the other proxies that are heard claim the target.
+    // Returns how many other responsive proxies claim the target.
     std::size_t claimsElsewhere(TargetId target, Instant now) const;
 
-    // Returns true if this peer claims the target and has been heard lately.
+    // Returns true if this peer claims the target and has sent a report recently.
     bool claimedBy(PeerKey peer, TargetId target, Instant now) const;
 
     // Sets the targets that this process sees as leaving or cold.
     void setUnavailable(std::vector<TargetId> targets);
 
-    // Brings claims into effect, ends those whose lease ran out and gives up those that the floor doesn't allow, least
-    // bad first. `known` are the service's targets and `floor` how many of them must stay. Returns the claims given up.
+    // Puts claims into effect, ends those whose lease has expired and withdraws those that the floor doesn't allow, the
+    // least severe first. `known` are the service's targets and `floor` is how many of them must stay in service.
+    // Returns the withdrawn claims.
     std::vector<TargetId> tick(const std::vector<TargetId> &known,
                                std::size_t floor,
                                const Badness &badness,
                                Instant now);
 
-    // Returns how many of `known` any proxy counts as out of service, what this process claims included.
+    // Returns how many of `known` any proxy counts as out of service, including the targets that this process claims.
     std::size_t outOfService(const std::vector<TargetId> &known, Instant now) const;
 
-    // Returns true while a claim of ours hasn't been announced, or a peer's hasn't been confirmed: the next report is
-    // waited for.
+    // Returns true while a claim of this process hasn't been announced or a peer's claim hasn't been confirmed. The
+    // next report should then be sent soon.
     bool hasNews() const;
 
-    // Returns true when every peer that isn't gone has confirmed a report within the lease.
+    // Returns true if every peer that hasn't stopped has confirmed a report within the lease.
     bool leased(Instant now) const;
 
 private:
     struct Peer {
         Instant addedAt {};
         Instant heardAt {};
-        Instant removedAt {}; // when setPeers() left it out
+        Instant removedAt {}; // when setPeers() removed it
         bool named = true;
-        std::uint32_t newest = 0; // sequence of the newest report received
-        std::uint32_t confirmed = 0; // our sequence that the peer has confirmed
+        std::uint32_t newest = 0; // sequence number of the newest report received
+        std::uint32_t confirmed = 0; // newest sequence number of this process that the peer has confirmed
         std::vector<TargetId> claimed;
         std::vector<TargetId> unavailable;
         std::set<PeerKey> hears;
@@ -104,7 +107,7 @@
 
     struct Claim {
         Instant madeAt {};
-        std::uint32_t announced = 0; // sequence of the first report that carried it; 0: none yet
+        std::uint32_t announced = 0; // sequence number of the first report that contained it; 0 if there is none
         bool inEffect = false;
     };
 
@@ -127,7 +130,7 @@
     std::map<TargetId, Claim> m_claims;
     std::vector<TargetId> m_unavailable;
     std::uint32_t m_sequence = 0;
-    bool m_unconfirmed = false; // a peer's claim that no report of ours has confirmed
+    bool m_unconfirmed = false; // a peer's claim that no report of this process has confirmed
     std::deque<SentReport> m_sent; // within the lease
 };
 
--- a/include/mulberryplank/policy/hedge.h
+++ b/include/mulberryplank/policy/hedge.h
@@ -11,24 +11,24 @@
 
 struct HedgeSettings {
     double quantile = 0.95; // of the route's latency
-    std::uint32_t leastSamples = 100; // no hedging before so many answers were seen
-    std::uint32_t window = 4'096; // samples after which the weight of older ones is halved
-    Millis least { 2 }; // never hedge earlier than this
+    std::uint32_t leastSamples = 100; // number of responses required before hedging starts
+    std::uint32_t window = 4'096; // number of samples after which the weight of older ones is halved
+    Millis least { 2 }; // hedging never starts earlier than this
 };
 
-// Learns after which time an answer of one route is late. Memory is constant: latencies are counted in buckets that
-// grow by a fifth, so the result lies at most a fifth above the true quantile. Not thread-safe.
+// Estimates when the response of a route is late. Memory use is constant: latencies are counted in buckets that grow by
+// a fifth, so the result exceeds the true quantile by a fifth at most. Not thread-safe.
 class HedgeDelay
 {
 public:
     explicit HedgeDelay(HedgeSettings settings = {});
 
-    // Records the time that an answer's header took. Latencies of attempts that lost against a hedge belong here too,
-    // as the time they had run so far; otherwise hedging would hide the slowness that it answers.
+    // Records the time until a response's header arrived. Must also be called for attempts that lost against a hedge,
+    // with the time they had run; otherwise hedging would hide the slowness that triggers it.
     void onLatency(Duration latency);
 
-    // Returns the time to wait before a second attempt is made beside the first, or nothing while too few answers were
-    // seen.
+    // Returns the delay before a second attempt is started in parallel with the first, or nothing while too few
+    // responses were recorded.
     std::optional<Duration> delay() const;
 
 private:
--- a/include/mulberryplank/policy/overload.h
+++ b/include/mulberryplank/policy/overload.h
@@ -8,25 +8,25 @@
 {
 
 struct OverloadSettings {
-    Duration longestWait = Millis(1'000); // of a request in a full queue at the present capacity
+    Duration longestWait = Millis(1'000); // of a request in a full queue at the current capacity
     std::uint32_t leastQueue = 8; // waiting requests that are allowed at any capacity
-    std::uint32_t mostQueue = 4'096; // waiting requests that are allowed at most: bounds memory
-    Duration growTime = Seconds(2); // that the bound takes to double when capacity returns
+    std::uint32_t mostQueue = 4'096; // maximum number of waiting requests; bounds memory
+    Duration growTime = Seconds(2); // time in which the bound doubles when capacity returns
 };
 
-// Works out how many requests of a service may wait in this process, from what its targets can serve. The bound falls
-// with the capacity at once, so that nothing waits longer than it is worth, and grows back gradually, so that callers
-// that were refused and come back together don't fill the queue in one go. Not synchronized.
+// Computes how many requests of a service may wait in this process from the capacity of its targets. The bound falls
+// with the capacity immediately, so that no request waits longer than `maxWait`. It grows back gradually, so that
+// rejected callers that retry together don't fill the queue all at the same time. Not synchronized.
 class OverloadControl
 {
 public:
     explicit OverloadControl(OverloadSettings settings);
 
-    // Takes in the slots that this process can use now and the average slot-time of a request. Returns the bound for
-    // FairQueue::setTotalQueue(). To be called whenever the capacity changes, and every second or so.
+    // Updates the bound from the slots that this process can use and the average slot time of a request. Returns the
+    // bound for FairQueue::setTotalQueue(). Must be called whenever the capacity changes, and about every second.
     std::uint32_t update(double slots, Duration averageCost, Instant now);
 
-    // Returns the bound that update() returned last; the least one before the first call.
+    // Returns the result of the last update(), or the minimum before the first call.
     std::uint32_t totalQueue() const;
 
 private:
--- a/include/mulberryplank/policy/routestatistics.h
+++ b/include/mulberryplank/policy/routestatistics.h
@@ -9,26 +9,26 @@
 namespace mulberryplank
 {
 
-// How long a route's requests take and how large their answers are, from the successes of late. Not synchronized.
+// Latencies and response sizes of a route's recent successes. Not synchronized.
 class RouteStatistics
 {
 public:
-    // An attempt was answered with success.
+    // Records a successful attempt.
     void add(Duration latency, std::size_t answerBytes);
 
-    // Returns the mean latency in seconds, or 0 before the first answer.
+    // Returns the mean latency in seconds, or 0 before the first response.
     double meanSeconds() const;
 
-    // Returns the mean size of an answer in bytes.
+    // Returns the mean size of a response in bytes.
     double meanBytes() const;
 
-    // Returns the latency that `share` (0 to 1) of the answers didn't exceed, or nothing before there are enough of
-    // them.
+    // Returns the latency that `share` (0 to 1) of the responses didn't exceed, or nothing while there are too few
+    // responses.
     std::optional<Duration> quantile(double share) const;
 
-    // Returns the part of a healthy target's answers that take longer than `age`. Before there are enough answers it
-    // falls with `assumedMean`. Never below a small part: answers are late for reasons that no sample of usual size
-    // shows.
+    // Returns the share of a healthy target's responses that take longer than `age`. While there are too few responses
+    // it decays exponentially with `assumedMean`. It never falls below a minimum, since responses can be late for
+    // reasons that a sample of usual size doesn't show.
     double survival(Duration age, Duration assumedMean) const;
 
 private:
--- a/include/mulberryplank/policy/sicknessmodel.h
+++ b/include/mulberryplank/policy/sicknessmodel.h
@@ -6,53 +6,54 @@
 namespace mulberryplank
 {
 
-// How likely something that was seen of a target is if the target is healthy, and if it is sick.
+// The likelihoods of an observation if the target is healthy and if it is faulty.
 struct SicknessEvidence {
     double ifHealthy = 1;
     double ifSick = 1;
 
-    // Returns the logarithm of what the odds of sickness are multiplied by.
+    // Returns the log likelihood ratio: the logarithm of the factor by which the odds of a fault change.
     double logRatio() const;
 };
 
-// How likely a target is thought to be sick.
+// The estimated probability that a target is faulty.
 struct SicknessBelief {
-    double value = -1; // at `at`; below 0: nothing is known of the target
+    double value = -1; // at `at`; below 0 if nothing is known about the target
     Instant at {};
 };
 
-// A model of targets that turn sick and well by themselves: each answer or failure is weighed, by Bayes' rule, by how
-// likely it is from a sick target and from a healthy one; between answers the belief drifts towards the share of the
-// service's targets that are sick at the time. An attempt that goes on without an answer is evidence as well, by the
-// part of healthy targets' answers that take as long. Not synchronized.
+// A model of targets that become faulty and recover by themselves. Each response or failure updates the fault
+// probability by Bayes' rule, from its likelihood at a faulty and at a healthy target. Between responses the
+// probability drifts towards the current share of faulty targets of the service. An attempt without a response is
+// evidence as well, weighed by the share of healthy targets' responses that take as long. Not synchronized.
 class SicknessModel
 {
 public:
     SicknessModel();
 
-    // Returns the likelihood that a target with that belief is sick now.
+    // Returns the probability that a target with that estimate is faulty at `now`.
     double beliefOf(const SicknessBelief &belief, Instant now) const;
 
-    // Returns the likelihood that an attempt fails at a target that is sick with the likelihood `belief`.
+    // Returns the probability that an attempt fails at a target that is faulty with the given probability.
     static double failureRisk(double belief);
 
-    // Returns what an attempt's end says by itself. A cancelled attempt says nothing.
+    // Returns the evidence in an attempt's result. A cancelled attempt is no evidence.
     static SicknessEvidence evidenceOf(AttemptResult result);
 
-    // Returns what an attempt without an answer says, where `survival` of healthy targets' answers take longer.
+    // Returns the evidence in an attempt without a response so far, where `survival` is the share of healthy targets'
+    // responses that take longer.
     static SicknessEvidence evidenceOfSilence(double survival);
 
-    // Takes evidence into the belief: the sum of the logarithms of what the odds of sickness are multiplied by.
+    // Updates the estimate with evidence, given as a sum of log likelihood ratios.
     void learn(SicknessBelief &belief, double logRatio, Instant now) const;
 
-    // Returns what beliefOf() would be after that evidence.
+    // Returns the fault probability after that evidence, without changing the estimate.
     double beliefAfter(const SicknessBelief &belief, double logRatio, Instant now) const;
 
-    // Tells the model the mean belief over the service's targets, which its share of sick targets follows slowly.
+    // Moves the share of faulty targets slowly towards the mean fault probability of the service's targets.
     void followMean(double meanBelief);
 
 private:
-    double m_sickShare; // of the targets, as estimated
+    double m_sickShare; // estimated share of the targets that are faulty
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/targetbalancer.h
+++ b/include/mulberryplank/policy/targetbalancer.h
@@ -17,68 +17,69 @@
 namespace mulberryplank
 {
 
-// What a target says of its load with an answer.
+// The load that a target reports with a response.
 struct ReportedLoad {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint32_t slots = 0;
 };
 
-// The weights of a choice. All are times: the balancer takes the target with the least expected cost of a request.
+// Settings of the cost function. All costs are times: the balancer selects the target with the minimum expected cost of
+// a request.
 struct BalancerSettings {
     FailureDomain ownDomain;
     Duration heartbeat = Millis(1'500); // of the targets
-    // What the bytes of a request and its answer cost when they cross failure domains, in bytes for each millisecond of
-    // delay that the caller would rather bear. Transfers between domains are billed; at 300 bytes a millisecond a large
-    // answer stays in its domain unless that costs it some hundred milliseconds, and a small one goes where it is
-    // served first.
+    // The cost of the bytes of a request and its response when they cross failure domains, in bytes for each
+    // millisecond of delay that is preferred to the transfer. Transfers between domains are billed. At 300 bytes per
+    // millisecond a large response stays in its domain unless that costs it some hundred milliseconds, and a small one
+    // uses the target that responds first.
     double bytesPerMilli = 300;
-    Duration crossDomainRoundTrip = Millis(3); // the network's part of the same
+    Duration crossDomainRoundTrip = Millis(3); // network latency of a transfer between domains
 };
 
-// What is known of a request that a target is chosen for.
+// Describes the request that a target is selected for.
 struct ChooseTarget {
     const HostRoute *route = nullptr; // must not be nullptr
-    std::vector<TargetName> excluded; // tried before
-    std::function<bool(const Endpoint &)> connected; // whether a connection to the target is at hand
-    bool isLast = false; // no attempt can follow this one
-    std::size_t requestBytes = 0; // of its body
+    std::vector<TargetName> excluded; // targets that were already tried
+    std::function<bool(const Endpoint &)> connected; // whether an open connection to the target is available
+    bool isLast = false; // no further attempt can follow this one
+    std::size_t requestBytes = 0; // size of its body
 };
 
-// How an attempt ended.
+// The outcome of an attempt.
 struct AttemptEnd {
     AttemptResult result = AttemptResult::Success;
-    Duration latency {}; // until the answer's last byte, or until it failed
+    Duration latency {}; // until the last byte of the response, or until the failure
     std::size_t answerBytes = 0;
     std::optional<ReportedLoad> load;
 };
 
-// A chosen target.
+// The target selected for a request.
 struct ChosenTarget {
     TargetName id;
     Endpoint endpoint;
-    double risk = 0; // estimated probability that an attempt fails there
-    double load = 0; // estimated requests there, of all callers
-    double expectedMillis = 0; // until the answer
-    std::optional<Duration> loadAge {}; // of the target's last report; nothing: it has told none
-    bool wasUnused = false; // chosen for that, so the other proxies should know at once that it is in use
+    double risk = 0; // estimated probability that an attempt at this target fails
+    double load = 0; // estimated number of requests at the target, of all callers
+    double expectedMillis = 0; // until the response
+    std::optional<Duration> loadAge {}; // of the target's last report; empty if it has sent none
+    bool wasUnused = false; // selected because it was unused; the other proxies should learn of its use at once
 };
 
-// A target has come under suspicion of being sick, or out of it.
+// A target became suspected of being faulty, or is no longer suspected.
 struct SuspicionChange {
     TargetName id;
     FailureDomain failureDomain;
     bool suspected = false;
-    double belief = 0; // the likelihood that it is sick
-    AttemptResult evidence = AttemptResult::Success; // the attempt's end that decided it, here or at another proxy
+    double belief = 0; // the probability that it is faulty
+    AttemptResult evidence = AttemptResult::Success; // the result, at any proxy, that caused the change
 };
 
 using SuspicionHook = std::function<void(const SuspicionChange &)>;
 
-// Told where a target has started again: connections to its earlier start are void.
+// Called with the endpoint of a target that has restarted. Connections to its previous instance are invalid.
 using RestartHook = std::function<void(const Endpoint &)>;
 
-// One target, for the dump of state.
+// The state of one target in the dump.
 struct BalancedTarget {
     AnnouncedTarget target;
     std::uint32_t inFlight = 0;
@@ -87,118 +88,119 @@
     double slowness = 1;
 };
 
-// How many targets of a service there are, by what is thought of them.
+// Number of a service's targets by state.
 struct TargetCounts {
     std::uint32_t trusted = 0;
     std::uint32_t suspected = 0;
     std::uint32_t draining = 0;
 };
 
-// Chooses targets of one service by expected cost: the time until the answer, given the target's speed and load; plus
-// the risk that the attempt fails, weighed by what a failure costs a request of this kind; plus the bill for bytes that
-// cross failure domains.
 //
-// The risk comes from a SicknessModel: where many targets turn sick, requests stay with those that have answered
-// lately, and where none do, old evidence costs nothing. No target is ever ruled out: when the others are
-// full, suspects are used, so that sick targets can't take healthy capacity with them. A request that may run only once
-// pays most for risk, so suspects are tried with idempotent requests first.
+// Selects targets of one service by expected cost. The cost consists of the time until the response, given the target's
+// speed and load; the risk that the attempt fails, weighted by the cost of a failure for this kind of request; and the
+// bill for bytes that cross failure domains.
 //
-// Some requests go to targets that nobody has used for a while: else the few that seem well would get everything, and
-// what was avoided once would stay unknown. Not synchronized.
+// The risk comes from a FaultModel. While many targets become faulty, requests stay with targets that have responded
+// recently; while none do, old evidence costs nothing. No target is ever ruled out: when the other targets are full,
+// suspected targets are used, so that faulty targets can't reduce healthy capacity. Risk costs a non-idempotent request
+// most, so suspected targets are tried with idempotent requests first.
+//
+// Some requests are sent to targets that no process has used for a while. Otherwise the few targets that appear healthy
+// would receive every request, and nothing would be learned about targets that were avoided before. Not synchronized.
 class TargetBalancer
 {
 public:
-    // The hooks are told of each change, from within the calls that bring it about; they may be empty.
+    // The hooks are called on each change, from within the calls that cause it. They may be empty.
     TargetBalancer(BalancerSettings settings,
                    std::uint64_t seed,
                    SuspicionHook suspicionChanged = {},
                    RestartHook restarted = {});
 
-    // Takes over the service's targets; what is known of those that stay is kept. Draining and lapsed ones may be among
-    // them.
+    // Replaces the service's targets. State of targets that stay is kept. The list may contain draining and expired
+    // targets.
     void configure(const std::vector<ListedTarget> &targets);
 
-    // Says whether the list is up to date: only then does a late heartbeat say something about its target.
+    // Sets whether the list is up to date. A late heartbeat is evidence about its target only while it is.
     void setListFresh(bool fresh);
 
-    // Returns the target for a request, or nothing when there is none that takes new work.
+    // Returns the target for a request, or nothing if no target accepts new work.
     std::optional<ChosenTarget> choose(const ChooseTarget &wanted, Instant now);
 
-    // An attempt begins at a target that choose() gave.
+    // Records the start of an attempt at a target that choose() returned.
     void begin(const TargetName &id, const HostRoute &route, Instant now);
 
-    // An attempt has ended. `started` is the time given to begin(). Returns what the other proxies should learn of it
-    // at once, as the logarithm of what the odds of sickness are multiplied by, or nothing if it can wait for
-    // takeNews().
+    // Records the end of an attempt. `started` is the time passed to begin(). Returns the log likelihood ratio that the
+    // other proxies should receive immediately, or nothing if it can wait for takeUpdates().
     std::optional<double> end(
         const TargetName &id, const HostRoute &route, Instant started, const AttemptEnd &end, Instant now);
 
-    // Returns when the other proxies should be told next that an attempt has no answer yet, or nothing.
+    // Returns when to report next to the other proxies that an attempt has no response yet, or nothing.
     std::optional<Instant> nextSilence(const TargetName &id, Instant started) const;
 
-    // Takes what an attempt's silence says by now into the belief, and returns what is new in it for the other proxies,
-    // as end() does.
+    // Updates the fault probability with the evidence that an attempt has no response by `now`. Returns the part of it
+    // that the other proxies haven't received, as end() does.
     std::optional<double> takeSilence(const TargetName &id, Instant started, Instant now);
 
-    // Another proxy has seen an attempt begin, stay without an answer or end at a target, and learnt from it what end()
-    // or takeSilence() returned. `usedAt` is when it sent the target a request last.
+    // Applies evidence from another proxy, which observed that an attempt at a target began, had no response yet or
+    // ended. `logRatio` is what end() or takeNoResponseEvidence() returned there. `usedAt` is when that proxy last sent
+    // the target a request.
     void noteRemote(const TargetName &id, AttemptResult result, double logRatio, Instant usedAt, Instant now);
 
-    // What the other proxies should know of a target.
+    // An update about a target for the other proxies.
     struct News {
         TargetName id;
-        bool answered = false; // with success; otherwise it has only been sent something
-        Instant usedAt {}; // when it was sent something last, by any proxy
+        bool answered = false; // true if it responded with success; otherwise it was only sent a request
+        Instant usedAt {}; // when any proxy last sent it a request
     };
 
-    // Returns the targets that have answered or been sent something since the last call.
+    // Returns the targets that have responded or were sent a request since the last call.
     std::vector<News> takeNews();
 
-    // The target's address answers under another id, so the target has gone.
+    // Marks a target as removed, because another target id responds at its address.
     void noteGone(const TargetName &id);
 
-    // Returns the latency that `share` (0 to 1) of the route's recent successes didn't exceed, or nothing before there
-    // are enough of them.
+    // Returns the latency that `share` (0 to 1) of the route's recent successes didn't exceed, or nothing while there
+    // are too few of them.
     std::optional<Duration> latencyQuantile(const HostRoute &route, double share) const;
 
-    // Returns the targets' numbers for the metrics.
+    // Returns the number of targets by state, for the metrics.
     TargetCounts counts() const;
 
-    // Returns the targets for the dump of state.
+    // Returns the state of all targets, for the dump.
     std::vector<BalancedTarget> dump(Instant now) const;
 
 private:
-    // An attempt under way.
+    // An attempt that has not ended.
     struct Pending {
         Instant started;
         const RouteStatistics *statistics = nullptr; // of its route
-        Duration assumedMean {}; // while these have too few answers
-        double slowness = 1; // how much longer than the route's requests it is expected to take at this target
-        std::size_t step = 0; // of the silence that the others have been told
-        double learnt = 0; // from its silence, as a log ratio, and in the belief already
+        Duration assumedMean {}; // used while there are too few responses
+        double slowness = 1; // expected time at this target as a multiple of the route's mean
+        std::size_t step = 0; // number of no-response reports sent to the other proxies
+        double learnt = 0; // log ratio from the missing response that the estimate already includes
     };
     struct Entry {
         ListedTarget listed;
         bool gone = false;
-        double offset = 0; // in parts of a request's time, drawn by this process alone
+        double offset = 0; // as a share of a request's time, drawn by this process alone
         std::vector<Pending> pending;
         SicknessBelief belief;
-        bool suspected = false; // as told to the hook
-        bool answered = false; // since takeNews()
-        bool used = false; // likewise
+        bool suspected = false; // as last passed to the hook
+        bool answered = false; // since takeUpdates()
+        bool used = false; // since takeUpdates()
         double slowness = 1; // latency relative to the route's mean
         Instant slownessAt {};
-        Instant lastAnswer {}; // to any proxy, as far as this one knows
+        Instant lastAnswer {}; // to any proxy, as far as known
         double othersLoad = 0; // requests of other callers, as reported
         Instant reportedAt {};
-        Instant lastUsed {}; // by any proxy, as far as this one knows
+        Instant lastUsed {}; // by any proxy, as far as known
     };
-    // Targets that nobody has used for a while, of those that a request may go to.
+    // Targets that no process has used for a while, among those that a request may use.
     struct Unused {
         std::vector<const Entry *> targets;
-        double wellUnused = 0; // how many of them are well, as far as is known
-        double well = 0; // the same of all that there are to go to, used or not
-        std::size_t all = 0; // how many of these there are
+        double wellUnused = 0; // expected number of healthy targets among them
+        double well = 0; // expected number of healthy targets among all eligible ones, used or not
+        std::size_t all = 0; // number of eligible targets
     };
     double riskOf(const Entry &entry, Instant now) const;
     static double survivalOf(const Pending &pending, Instant now);
--- a/include/mulberryplank/policy/targetchooser.h
+++ b/include/mulberryplank/policy/targetchooser.h
@@ -12,34 +12,34 @@
 namespace mulberryplank
 {
 
-// What is known of a target at the moment of a choice.
+// The state of a target when a target is selected.
 struct TargetView {
     TargetIndex index = 0;
     double weight = 1; // ServiceHealth::weight()
     TargetPhase phase = TargetPhase::Healthy;
-    std::uint32_t inFlight = 0; // requests of this process under way there
-    std::uint32_t limit = 4; // the most requests of this process that may be under way there
-    std::optional<std::uint32_t> reportedInFlight; // as the target last said, of all proxies together
-    Duration reportAge {}; // since the target said so
+    std::uint32_t inFlight = 0; // requests of this process in progress at the target
+    std::uint32_t limit = 4; // maximum number of requests of this process in progress at the target
+    std::optional<std::uint32_t> reportedInFlight; // as last reported by the target, for all proxies together
+    Duration reportAge {}; // since that report
     FailureDomain failureDomain;
-    Duration expectedLatency {}; // of one request there; ServiceHealth::expectedLatency()
+    Duration expectedLatency {}; // of one request at the target; ServiceHealth::expectedLatency()
 };
 
-// What is known of the request that a target is chosen for.
+// Describes the request that a target is selected for.
 struct ChooseRequest {
     bool idempotent = false;
-    FailureDomain failureDomain; // this process's own
-    std::vector<TargetIndex> excluded; // tried before, or ruled out for another reason
+    FailureDomain failureDomain; // of this process
+    std::vector<TargetIndex> excluded; // already tried, or excluded for another reason
 };
 
-// Returns true if choose() would give the target to a request of any kind that doesn't exclude it.
+// Returns true if choose() may select the target for any kind of request that doesn't exclude it.
 bool takesWork(const TargetView &target);
 
-// Returns the target that the request should go to, or nothing when no target may take it now. Draws two candidates at
-// random, by weight, and takes the one that is expected to answer first. Ejected and draining targets are never chosen;
-// a target on trial only for an idempotent request while none of ours is under way there. A target at its limit is
-// never chosen. Suspected targets are taken at their weight, and in full once no healthy one has room: suspicion
-// changes the order, only ejection removes capacity.
+// Returns the target for the request, or nothing if no target can accept it now. Draws two candidates at random by
+// weight and selects the one with the shorter expected time. Ejected and draining targets are never selected. A target
+// on trial is selected only for an idempotent request, and only while no request of this process is in progress there.
+// A target at its limit is never selected. Suspected targets are selected according to their weight, and in full when
+// no healthy target has capacity left: suspicion changes the order, and only ejection removes capacity.
 std::optional<TargetIndex> choose(const std::vector<TargetView> &targets,
                                   const ChooseRequest &request,
                                   std::mt19937_64 &random);
--- a/src/policy/detector.cpp
+++ b/src/policy/detector.cpp
@@ -12,17 +12,17 @@
 constexpr double FirstClassSeconds = 100e-6;
 constexpr double ClassesPerDoubling = 4;
 
-// The test for slowness: how strongly ranks lean upwards in a sick target, and the most that one fast answer takes
-// away.
+// Parameters of the test for slowness: how strongly the ranks of a faulty target lean upwards, and the lower bound of
+// the step that one fast response subtracts.
 constexpr double SlowExponent = 3;
 constexpr double VerySlowExponent = 16;
 constexpr double LeastSlowStep = -3;
-// Targets differ a little while healthy; this much is no sign of sickness.
+// Factor by which healthy targets may differ without being suspected.
 constexpr double LatencyTolerance = 1.25;
-// Fewer comparable latencies than this say nothing.
+// Fewer comparable latencies than this are no evidence.
 constexpr float LeastReference = 20;
 
-// Shares of errors that the tests tell apart. The healthy share is raised to what the other targets show.
+// Shares of errors that the tests distinguish. The healthy share is raised to the level of the other targets.
 constexpr double HealthyErrorShare = 0.0015;
 constexpr double ManyErrorsShare = 0.25;
 constexpr double SomeErrorsShare = 0.05;
@@ -33,18 +33,18 @@
 constexpr double SickOverHealthy = 3;
 constexpr double ToleranceForOthersShare = 2;
 
-// How requests beyond the oldest known latency count: as if the latencies' tail fell with this power.
+// Requests older than the longest known latency are weighed as if the tail of the latencies decreased with this power.
 constexpr double TailPower = 2;
 constexpr double MostWaitingPerRequest = 12;
 
 constexpr Duration FadeInterval = Millis { 1'000 };
 constexpr float FadeFactor = 0.85F;
 constexpr float FadeFactorWhenThin = 0.97F;
-// How long requests may take at the very most is learnt over minutes: it needs thousands of them.
+// The extreme tail of the latencies is learned over minutes, since it needs thousands of requests.
 constexpr float FadeFactorOfTail = 0.99F;
 constexpr float ThinReference = 200;
 constexpr float RelearnFactor = 0.02F;
-constexpr double LatelyFactor = 0.9; // each tick
+constexpr double LatelyFactor = 0.9; // per tick
 constexpr double MeanLatencyGain = 0.1;
 constexpr double ForgetMeanLatency = 0.05;
 
@@ -69,7 +69,7 @@
     return attempts < 1 ? 0 : std::clamp<double>((all - own) / attempts, 0, 1);
 }
 
-// One test for a raised share of errors, against what the other targets show.
+// A test for a raised share of errors, compared with the other targets.
 struct ErrorTest {
     double healthyShare;
     double sickShare;
@@ -118,7 +118,7 @@
     if (m_total <= 0) {
         return;
     }
-    // The total is added up again, since rounding errors would otherwise part it from the weights.
+    // Sums the total again, because rounding errors would otherwise make it differ from the weights.
     m_total = 0;
     for (float &weight : m_weights) {
         weight *= factor;
@@ -238,7 +238,7 @@
     const double rank = rankOf(target, route, latency);
     const auto add = [&](SequentialTest &test, double exponent) {
         const double step = latencyTestStep(rank, exponent);
-        // A cancelled request would have taken longer than the time it got: it may raise suspicion, never lower it.
+        // A cancelled request would have taken longer than the time it had: it may raise suspicion, but never lower it.
         if (success || step > 0) {
             test.add(step, m_limit);
         }
@@ -261,7 +261,7 @@
 void Detector::outstanding(TargetIndex index, Duration oldestAge, std::uint32_t waiting, Instant now)
 {
     Target &target = *m_targets[index];
-    // One long download among quick answers is no hang: only the time without any answer counts.
+    // A single long download among quick responses is no hang: only the time without any response counts.
     const Duration silence = std::min(oldestAge, now - target.lastAnswer);
     if (waiting == 0 || silence <= Duration::zero()) {
         target.waiting = 0;
@@ -350,8 +350,8 @@
     m_allRoutes.fade(internal::RelearnFactor);
 }
 
-// Returns the share of the other targets' recent latencies on this route below `latency`; a half when there are too
-// few, and for a latency that no test should learn from.
+// Returns the share of the other targets' recent latencies on this route that lie below `latency`. Returns one half if
+// there are too few of them.
 double Detector::rankOf(const Target &target, std::size_t route, Duration latency) const
 {
     constexpr double Typical = 0.5;
@@ -365,7 +365,8 @@
     return std::clamp<double>(below / others, 0, 1);
 }
 
-// Returns the share of the service's requests that take longer than `age`, carried on beyond the longest one known.
+// Returns the share of the service's requests that take longer than `age`, extrapolated beyond the longest known
+// latency.
 double Detector::shareStillWaiting(Duration age) const
 {
     const float total = m_allRoutes.total();
@@ -396,8 +397,8 @@
 
 void Detector::fade()
 {
-    // Half of what is known is newer than about four seconds, so that a wave of load moves the reference along with
-    // the targets. A service with little traffic keeps its past longer: too few latencies make ranks coarse.
+    // Half of the weight is newer than about four seconds, so that a wave of load moves the reference along with the
+    // targets. A service with little traffic keeps old latencies longer, since too few latencies make ranks coarse.
     const auto factorFor = [](float total) {
         return total > internal::ThinReference ? internal::FadeFactor : internal::FadeFactorWhenThin;
     };
@@ -424,7 +425,8 @@
         m_counts.attempts += counts.attempts;
         m_counts.errors += counts.errors;
         m_counts.wrongAnswers += counts.wrongAnswers;
-        // Without new answers the target is thought of as an average one again, so that it gets the chance to show.
+        // Without new responses the estimate of a target returns to the average, so that it is selected again and can
+        // be measured.
         target->meanLatency += internal::ForgetMeanLatency * (m_meanLatency - target->meanLatency);
     }
 }
--- a/src/policy/detectortest.cpp
+++ b/src/policy/detectortest.cpp
@@ -5,7 +5,7 @@
 
 #include <rapidcheck.h>
 
-// Last: it makes `new` a macro, which other headers don't bear.
+// Must come last: it redefines `new` as a macro, which breaks other headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace mulberryplank;
@@ -16,7 +16,8 @@
 constexpr TargetIndex Targets = 5;
 constexpr double Limit = 60;
 
-// Feeds `seconds` of traffic, 10 requests a second and target, with latencies drawn by `latency`.
+// Feeds `seconds` of traffic with 10 requests per second and target, whose latencies come from `latency`. Returns the
+// highest suspicion of any target.
 template<typename Latency>
 double highestSuspicion(Detector &detector, int seconds, Latency latency)
 {
@@ -45,7 +46,7 @@
 
 TEST_GROUP(Detector) {};
 
-// Failure: targets whose answers vary a lot are ejected now and then though nothing is wrong with them.
+// Guards against ejections of healthy targets whose latencies vary widely.
 TEST(Detector, heavyTailsRaiseNoSuspicion)
 {
     CHECK_TRUE(rc::check("tails", [](std::uint32_t seed) {
--- a/src/policy/evidence.cpp
+++ b/src/policy/evidence.cpp
@@ -12,12 +12,14 @@
 {
 
 constexpr std::uint16_t InformedAttempts = 1;
-// What a healthy target's tests show now and then. Left out of every proxy's part, it can't add up over many proxies.
+// The value that a healthy target's tests reach occasionally. It is subtracted from each proxy's part, so that noise
+// doesn't add up over many proxies.
 constexpr double Noise = 2;
 
 void add(JointView &view, const TargetEvidence &evidence, double mostFromOne, double leastSupport)
 {
-    // A report is a peer's word: a value that is no number would make every sum with it wrong for good.
+    // Reports of peers aren't trusted: a value that is not a finite number would permanently corrupt every sum that
+    // includes it.
     if (!std::isfinite(evidence.suspicion)) {
         return;
     }
--- a/src/policy/floor.cpp
+++ b/src/policy/floor.cpp
@@ -47,8 +47,8 @@
         return false;
     }
     Peer &sender = found->second;
-    // Datagrams arrive late and twice. An older report would bring back claims that were given up, and would count as
-    // a sign of life of a peer that has fallen silent.
+    // Datagrams may arrive late or twice. An older report would restore claims that were withdrawn, and would make an
+    // unresponsive peer count as responsive.
     if (report.sequence <= sender.newest) {
         return false;
     }
@@ -143,8 +143,8 @@
 {
     forgetLingering(now);
     if (!leased(now)) {
-        // Without confirmations the others may be about to count our ejections as lapsed and use up the floor
-        // themselves. Ours end first, and have to be announced again.
+        // Without confirmations the other proxies may be about to count the ejections of this process as expired and
+        // use up the floor themselves. Therefore the local ejections end first and have to be announced again.
         for (auto &[target, claim] : m_claims) {
             claim.announced = 0;
             claim.inEffect = false;
@@ -192,7 +192,8 @@
             ++present;
             continue;
         }
-        // Silent here only: the peer may be hearing others, and may be ejecting with their confirmations.
+        // The peer is unresponsive for this process only. It may still receive reports from other proxies and eject
+        // with their confirmations.
         const bool heardElsewhere = std::any_of(m_peers.begin(), m_peers.end(), [&, silent = key](const auto &entry) {
             return !isSilent(entry.second, now) && entry.second.hears.count(silent) != 0;
         });
@@ -260,7 +261,8 @@
     return given;
 }
 
-// Returns how many targets that are out come before `target`: those that nobody ejected, and the worse ones.
+// Returns how many of the targets out of service rank before `target`: those that no proxy ejected, and those with a
+// more severe fault.
 std::size_t EjectionClaims::worseThan(TargetId target,
                                       const std::set<TargetId> &out,
                                       const Badness &badness,
--- a/src/policy/floortest.cpp
+++ b/src/policy/floortest.cpp
@@ -6,7 +6,7 @@
 
 #include <rapidcheck.h>
 
-// Last: it makes `new` a macro, which other headers don't bear.
+// Must come last: it redefines `new` as a macro, which breaks other headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace mulberryplank;
@@ -16,7 +16,8 @@
 
 constexpr Duration Step = Millis { 50 };
 
-// A few proxies that claim targets, and a network between them that loses, delays, repeats and cuts one way.
+// Simulates a few proxies that claim targets, and a network between them that loses, delays, repeats and cuts off
+// messages in one direction.
 class Fleet
 {
 public:
@@ -64,7 +65,7 @@
         shareViews();
     }
 
-    // Returns how many targets no running proxy has ejected and none calls unavailable.
+    // Returns how many targets are neither ejected by a running proxy nor unavailable.
     std::size_t inService() const
     {
         return static_cast<std::size_t>(std::count_if(m_targets.begin(), m_targets.end(), [&](TargetId target) {
@@ -145,7 +146,7 @@
             proxy.paused = !proxy.paused;
         }
         if (chance(0.001)) {
-            // A restart: a new incarnation that knows nothing, and that the others get to know later.
+            // A restart: a new incarnation without state, which the other proxies learn about later.
             proxy = { m_nextKey++, nullptr, false };
             proxy.claims = std::make_unique<EjectionClaims>(proxy.key, EjectionClaimsSettings {});
             proxy.claims->setPeers(keys(), m_now);
@@ -189,7 +190,7 @@
             if (to == m_proxies.end()) {
                 continue;
             }
-            // What reaches a paused process waits in its socket.
+            // Messages to a paused process wait in its socket.
             if (message.at > m_now || to->paused) {
                 later.push_back(std::move(message));
             } else {
@@ -235,7 +236,8 @@
 
 TEST_GROUP(Floor) {};
 
-// Failure: a service with a floor of half its targets has fewer in service, though each proxy kept to the floor.
+// Guards against a service with a floor of half its targets having fewer in service, although each proxy by itself
+// keeps to the floor.
 TEST(Floor, holdsOverAllProxiesWhateverTheNetworkDoes)
 {
     CHECK_TRUE(rc::check("floor holds", [](std::uint32_t seed) {
@@ -250,7 +252,7 @@
     }));
 }
 
-// Failure: after a network fault has healed, no proxy ejects anything any more.
+// Guards against claims that block all ejections after a network fault has ended.
 TEST(Floor, ejectsUpToTheFloorOnceTheNetworkHasHealed)
 {
     CHECK_TRUE(rc::check("liveness", [](std::uint32_t seed) {
@@ -290,7 +292,7 @@
     for (std::size_t step = 0; step < TwoSeconds; ++step) {
         fleet.step(false);
     }
-    // Target 4 is the worst of the four by Fleet's measure.
+    // Target 4 has the most severe fault of the four according to Fleet.
     LONGS_EQUAL(1, fleet.ejected());
     LONGS_EQUAL(4, fleet.inService());
 }
--- a/src/policy/hedgetest.cpp
+++ b/src/policy/hedgetest.cpp
@@ -5,7 +5,7 @@
 
 #include <rapidcheck.h>
 
-#include <CppUTest/TestHarness.h> // redefines new, so it comes last
+#include <CppUTest/TestHarness.h> // redefines `new`, so it must come last
 
 using namespace mulberryplank;
 
@@ -39,7 +39,7 @@
     CHECK_TRUE(hedge.delay().has_value());
 }
 
-// Failure: hedging goes on by the latencies of last week.
+// Guards against a hedge delay that stays at outdated latencies.
 TEST(HedgeDelay, followsRouteThatHasBecomeSlower)
 {
     HedgeDelay hedge;
--- a/src/policy/overloadtest.cpp
+++ b/src/policy/overloadtest.cpp
@@ -25,7 +25,7 @@
     }));
 }
 
-// Failure: right after an outage of half of the targets ends, the service falls over again.
+// Guards against a second overload right after an outage of half of the targets has ended.
 TEST(OverloadControl, boundComesBackGradually)
 {
     OverloadControl control(OverloadSettings {});
--- a/src/policy/probeplan.cpp
+++ b/src/policy/probeplan.cpp
@@ -10,7 +10,7 @@
 namespace internal
 {
 
-// Two probers start their rounds apart and drift; this keeps a round that came early within the load share.
+// Two probers start their rounds at different times and drift; this margin keeps an early round within the load share.
 constexpr double IntervalMargin = 1.1;
 
 } // namespace internal
--- a/src/policy/routestatistics.cpp
+++ b/src/policy/routestatistics.cpp
@@ -13,9 +13,9 @@
 {
 
 constexpr float LeastSamples = 20;
-constexpr float SampleWindow = 400; // latencies; then the older ones lose half of their weight
-constexpr double MeanWeight = 0.05; // of the newest answer
-// The users' services answer about one request in a hundred several times later than the rest.
+constexpr float SampleWindow = 400; // number of latencies after which the weight of older ones is halved
+constexpr double MeanWeight = 0.05; // weight of the newest response
+// About one request in a hundred takes several times longer than the rest at the users' services.
 constexpr double LeastSurvival = 0.01;
 
 } // namespace
--- a/src/policy/routestatisticstest.cpp
+++ b/src/policy/routestatisticstest.cpp
@@ -32,7 +32,7 @@
     DOUBLES_EQUAL(0.2, statistics.survival(Millis(400), Millis(300)), 0.01);
 }
 
-// Silence is weighed against the likelihood of a late answer, which no sample of usual size shows to be zero.
+// A missing response is weighed against the probability of a late one, which no sample of usual size shows to be zero.
 TEST(RouteStatistics, SurvivalNeverReachesZero)
 {
     answerIn(Millis(100), 200);
--- a/src/policy/sicknessmodel.cpp
+++ b/src/policy/sicknessmodel.cpp
@@ -12,15 +12,16 @@
 namespace
 {
 
-// The model of health: a sick target fails this share of its attempts, a healthy one these shares. Faults (resets,
-// hangs, wrong bytes) are rare in health, error answers less so, and refusals are mostly a matter of load.
+// Failure shares by target health: a faulty target fails this share of its attempts, a healthy one these shares. Faults
+// (resets, hangs, wrong bodies) are rare at a healthy target, error responses less so, and rejections mostly indicate
+// load.
 constexpr double SickFailures = 0.7;
 constexpr double HealthyFaults = 0.005;
 constexpr double HealthyErrors = 0.02;
 constexpr double HealthySheds = 0.3;
-// How fast a target's health is forgotten: sicknesses that pass by themselves last some seconds.
+// Time constant with which the estimate returns to the mean: faults that end by themselves last some seconds.
 constexpr double DriftSeconds = 6;
-// The share of sick targets that is assumed at first, its bounds, and how much each piece of evidence moves it.
+// The initial share of faulty targets, its bounds, and how much each piece of evidence moves it.
 constexpr double FirstSickShare = 0.08;
 constexpr double LeastSickShare = 0.02;
 constexpr double MostSickShare = 0.4;
--- a/src/policy/sicknessmodeltest.cpp
+++ b/src/policy/sicknessmodeltest.cpp
@@ -61,7 +61,7 @@
     DOUBLES_EQUAL(model.beliefOf(answered, now), model.beliefOf(belief, now), 1e-9);
 }
 
-// The risk is weighed against times and compared between targets, so it has to stay a probability whatever happens.
+// The risk is weighed against times and compared between targets, so it must always be a probability.
 TEST(SicknessModel, TheBeliefStaysAProbability)
 {
     CHECK(rc::check([this] {
--- a/src/policy/targetbalancer.cpp
+++ b/src/policy/targetbalancer.cpp
@@ -12,35 +12,36 @@
 namespace
 {
 
-// What a failure costs a request, in multiples of its target latency: one that may run once is lost with it; another
-// one loses the time until it is sent again.
+// The cost of a failure, in multiples of the request's target latency. A non-idempotent request is lost with its
+// attempt; an idempotent one loses the time until it is sent again.
 constexpr double OnceFailureCost = 1.5;
 constexpr double IdempotentFailureCost = 0.2;
-// A target whose heartbeat is this many intervals late is likelier than others to be down.
+// A target whose heartbeat is this many intervals late is more likely to be down than others.
 constexpr double LateHeartbeats = 2.2;
 constexpr double LateHeartbeatRisk = 0.3;
-// A reported load has lost two thirds of its worth after this time.
+// A reported load has lost two thirds of its weight after this time.
 constexpr double ReportFadeSeconds = 0.5;
-// How fast an old slowness is forgotten, so that a target that was slow is tried again.
+// Time constant with which an old slowness decays, so that a target that was slow is tried again.
 constexpr double SlownessFadeSeconds = 4;
 constexpr double ColdSlowness = 2; // of a target that is warming up
-// The part of a request's time by which a target slows down on its way to full.
+// The share of a request's time by which a target slows down as its slots fill up.
 constexpr double CrowdingCost = 0.3;
-constexpr double FirstMeanPart = 0.3; // of the target latency: the mean assumed before any answer
-// What a target that nobody has used for a while is preferred by, in parts of a request's time, and after how long:
-// what is known of it grows old, and a service's targets stay in use all alike. As large as what the growing doubt
-// costs.
+constexpr double FirstMeanPart = 0.3; // of the target latency: the mean assumed before any response
+// The maximum preference for a target that no process has used for a while, as a share of a request's time, and the
+// time after which it is reached. Information about an unused target becomes outdated; the preference keeps all of a
+// service's targets in use. It is as large as the cost of the growing uncertainty.
 constexpr double IdlePreference = 0.12;
 constexpr double IdleSeconds = 1.5;
-constexpr double JitterSeconds = 0.008; // spreads choices among targets that are alike
-// How much longer a request is assumed to take at a target by an offset that each process draws for itself, up to this
-// part of its time: processes that believe the same would otherwise all go to the same target in the same moment, and
-// leave others without a request.
+constexpr double JitterSeconds = 0.008; // spreads choices among equal targets
+// The maximum offset, as a share of a request's time, that is added to the expected time at a target. Each process
+// draws its offsets at random: processes with the same estimates would otherwise all select the same target at the same
+// moment and leave others without a request.
 constexpr double MostOffset = 0.15;
-// A new connection's round trips and its bill; above the offset, so that connections at hand are used first.
+// The cost of a new connection: round trips and the bill. It exceeds the offset, so that open connections are used
+// first.
 constexpr double ConnectSeconds = 0.05;
 
-// Whether a failure of the attempt is the request's.
+// Returns true if the request fails when this attempt fails.
 bool isLost(const ChooseTarget &wanted)
 {
     return wanted.isLast || !isIdempotent(wanted.route->kind);
@@ -72,7 +73,7 @@
     for (const ListedTarget &listed : targets) {
         const auto found = m_targets.find(listed.target.id);
         Entry entry;
-        // Of a target that has started anew nothing is known, and its earlier start's attempts say nothing.
+        // Nothing is known about a restarted target, and attempts at its previous instance are no evidence.
         const bool listedBefore = found != m_targets.end();
         const bool restarted = listedBefore && found->second.listed.target.startedMillis != listed.target.startedMillis;
         if (restarted && m_restarted) {
@@ -101,7 +102,7 @@
     return found == m_routes.end() ? None : found->second;
 }
 
-// Returns the likelihood that a target is sick, what is under way there included.
+// Returns the probability that a target is faulty, including the evidence of its pending attempts.
 double TargetBalancer::beliefOf(const Entry &entry, Instant now) const
 {
     double silence = 0;
@@ -115,7 +116,7 @@
 {
     double risk = SicknessModel::failureRisk(beliefOf(entry, now));
     const Duration late = std::chrono::duration_cast<Duration>(m_settings.heartbeat * internal::LateHeartbeats);
-    // A target that has answered since is alive, however late its heartbeat is read.
+    // A target that has responded since is alive, however late its heartbeat is read.
     const Instant lastSign = std::max(entry.listed.lastHeartbeat, entry.lastAnswer);
     if (m_listFresh && now - lastSign > late) {
         risk = std::max(risk, internal::LateHeartbeatRisk);
--- a/src/policy/targetbalancerlearn.cpp
+++ b/src/policy/targetbalancerlearn.cpp
@@ -1,4 +1,4 @@
-// What is learnt from the ends of attempts.
+// Evidence from the outcomes of attempts.
 #include "mulberryplank/policy/targetbalancer.h"
 
 #include <algorithm>
@@ -13,16 +13,16 @@
 namespace
 {
 
-// The weight of the newest latency in a target's slowness, and the most that one latency counts as.
+// The weight of the newest latency in a target's slowness, and the maximum that one latency counts as.
 constexpr double SlownessWeight = 0.25;
 constexpr double MostSlowness = 12;
-// Beliefs from which on a target is told as suspected, and below which it no longer is: apart, so that a target which
-// fails now and then isn't told of at each answer. Choices go by the belief itself.
+// The fault probabilities at which a target is reported as suspected, and below which it no longer is. The gap prevents
+// a report with each response of a target that fails occasionally. Target selection uses the probability itself.
 constexpr double SuspectedFrom = 0.5;
 constexpr double TrustedBelow = 0.15;
-// The parts of healthy targets' answers that take longer, at which the other proxies are told of an attempt's silence.
-// Two requests in five cost them a message, one in five a second one, and so on. By the steps the odds of sickness have
-// grown about 2, 4, 10 and 35 times.
+// The shares of healthy targets' responses that take longer, at which a pending attempt without a response is reported
+// to the other proxies. Two requests in five cost them a message, one in five a second one, and so on. At the steps the
+// odds of a fault have grown about 2, 4, 10 and 35 times.
 constexpr std::array<double, 4> SilenceSteps { 0.4, 0.2, 0.07, 0.02 };
 
 } // namespace
@@ -43,14 +43,14 @@
     tellSuspicion(entry, result);
 }
 
-// Returns the part of a healthy target's answers that take longer than an attempt has been under way.
+// Returns the share of a healthy target's responses that take longer than an attempt has been in progress.
 double TargetBalancer::survivalOf(const Pending &pending, Instant now)
 {
     const auto age = std::chrono::duration_cast<Duration>((now - pending.started) / pending.slowness);
     return pending.statistics->survival(age, pending.assumedMean);
 }
 
-// Returns what an attempt's silence says by now, as a log ratio.
+// Returns the evidence that an attempt has no response by `now`, as a log ratio.
 double TargetBalancer::silenceOf(const Pending &pending, Instant now)
 {
     return SicknessModel::evidenceOfSilence(survivalOf(pending, now)).logRatio();
@@ -101,7 +101,7 @@
     return news;
 }
 
-// Tells of a target that has come under suspicion or out of it.
+// Calls the hook if a target became suspected or is no longer suspected.
 void TargetBalancer::tellSuspicion(Entry &entry, AttemptResult evidence)
 {
     const double belief = entry.belief.value;
@@ -146,7 +146,7 @@
         entry.lastAnswer = now;
         noteSuccess(entry, m_routes[route.name], end, now);
     }
-    // What ended without an answer of its own accord, or by us, has been silent until now.
+    // A cancelled attempt had no response until now.
     const bool silent = end.result == AttemptResult::Cancelled;
     const double all = silent ? silenceOf(pending, now) : SicknessModel::evidenceOf(end.result).logRatio();
     const double news = all - pending.learnt;
--- a/src/policy/targetbalancerspread.cpp
+++ b/src/policy/targetbalancerspread.cpp
@@ -1,4 +1,4 @@
-// Which targets get requests so that most of them stay in use and known.
+// Selects unused targets, so that most targets stay in use and their health stays known.
 #include "mulberryplank/policy/targetbalancer.h"
 
 #include <algorithm>
@@ -14,30 +14,30 @@
 namespace
 {
 
-// A target without a request for so long is unused. The platform's operators want most sound targets in use in each two
-// seconds, so that four tenths of a second are left to find a request for it.
+// A target counts as unused after this time without a request. The platform's operators want most healthy targets in
+// use in each two seconds, which leaves four tenths of a second to find a request for it.
 constexpr Duration UnusedAfter = Millis(1'600);
-// This share of requests goes to unused targets, while there are any to be used.
+// The share of requests sent to unused targets, while there are any that may be used.
 constexpr double SpreadShare = 0.25;
-// An unused target that isn't known to be sick is used whatever else there is. Others are used as soon as more than
-// so large a part of a service's targets is unused, the least doubtful first: what is avoided for its failures may be
-// well again and nobody would know. Requests that are lost with their attempt come second. While few targets are sick
-// each counts by the likelihood that it is well: most of what is unused then is known to be sick, and would only cost
-// requests.
+// An unused target that isn't known to be faulty is always used. The others are used when the unused share of a
+// service's targets exceeds these limits, the least risky first: a target that was avoided for its failures may have
+// recovered unnoticed. Requests that are lost with their attempt have the higher limit. While few targets are faulty,
+// each target counts by the probability that it is healthy: most unused targets are then known to be faulty and would
+// only cost requests.
 constexpr double MostUnusedForIdempotent = 0.15;
 constexpr double MostUnused = 0.2;
-// The part of the unused targets that one is chosen from. What failed longest ago is likeliest to be well again, and
-// each try of one that isn't costs a request.
+// The share of the unused targets that one is selected from. Targets that failed longest ago are the most likely to
+// have recovered, and each try of one that hasn't costs a request.
 constexpr double LeastRisky = 0.125;
-// More than so large a part of all targets isn't unused in any case: of a few targets more may be well than believed.
+// The maximum unused share of all targets in any case: of a few targets, more may be healthy than estimated.
 constexpr double MostUnusedOfAll = 0.35;
-// Up to so large a part of sick targets, as far as is believed, counts as few.
+// Up to this estimated share, faulty targets count as few.
 constexpr double CalmSickShare = 0.2;
-// A target is left alone only while something is known against it: what failed some seconds ago may have recovered, and
-// others under a disturbance that nobody notices may leave few that are sound.
+// A target is avoided only while there is evidence against it: a target that failed some seconds ago may have
+// recovered, and undetected faults of other targets may leave few healthy ones.
 constexpr double KnownSick = 0.6;
-constexpr double KnownSickInCalm = 0.5; // while few are sick, so that trying them costs few requests
-// A target whose risk is more than so many times that of one of which nothing is known is doubtful.
+constexpr double KnownSickInCalm = 0.5; // while few are faulty, so that trying them costs few requests
+// A target has a raised risk if its risk exceeds that of an unknown target by this factor.
 constexpr double Doubtful = 1.25;
 
 } // namespace
@@ -53,12 +53,12 @@
         }
         const bool near = entry.listed.target.failureDomain == m_settings.ownDomain;
         if (wanted.route->kind == RouteKind::LargeAnswer && !near) {
-            continue; // the bill would outweigh what is learnt
+            continue; // the bill would outweigh the information
         }
         const double wellness = 1 - beliefOf(entry, now);
         result.well += wellness;
         ++result.all;
-        // A doubtful target with an attempt under way is being tried already.
+        // A pending attempt already tests a target with a raised risk.
         const bool isTried = !entry.pending.empty() && isDoubtful(entry, now);
         if (now - entry.lastUsed > internal::UnusedAfter && mayTake(entry, wanted) && !isTried) {
             result.targets.push_back(&entry);
@@ -68,14 +68,14 @@
     return result;
 }
 
-// Returns whether a target looks worse than one of which nothing is known.
+// Returns true if a target's risk is clearly above that of an unknown target.
 bool TargetBalancer::isDoubtful(const Entry &entry, Instant now) const
 {
     const double unknown = SicknessModel::failureRisk(m_model.beliefOf(SicknessBelief {}, now));
     return riskOf(entry, now) > unknown * internal::Doubtful;
 }
 
-// Leaves only targets that a connection is at hand to, where there are any.
+// Keeps only targets with an open connection, if there are any.
 void TargetBalancer::preferConnected(std::vector<const Entry *> &targets, const ChooseTarget &wanted)
 {
     const auto isConnected = [&wanted](const Entry *entry) {
@@ -86,7 +86,7 @@
     }
 }
 
-// Returns one of those that seem best, in no order that other proxies would follow as well.
+// Returns a random one of the targets with the lowest risk, so that other proxies don't select the same one.
 const TargetBalancer::Entry *TargetBalancer::fromLeastRisky(std::vector<const Entry *> targets, Instant now)
 {
     if (targets.empty()) {
@@ -103,7 +103,7 @@
     return targets[std::uniform_int_distribution<std::size_t>(0, best - 1)(m_random)];
 }
 
-// Returns a target that hasn't been used for a while if it is time to use one, else nullptr.
+// Returns an unused target if the request should use one, else nullptr.
 const TargetBalancer::Entry *TargetBalancer::chooseUnused(const ChooseTarget &wanted, Instant now)
 {
     if (!std::bernoulli_distribution(internal::SpreadShare)(m_random)) {
--- a/src/policy/targetbalancertest.cpp
+++ b/src/policy/targetbalancertest.cpp
@@ -13,7 +13,7 @@
 const FailureDomain Here("here");
 const FailureDomain There("there");
 
-// A service of targets with four slots each, that answer in 300 ms.
+// A service of targets with four slots each that respond in 300 ms.
 class Balanced
 {
 public:
@@ -65,7 +65,7 @@
         balancer.end(name(index), route, now, end, now);
     }
 
-    // Returns how often each target is chosen, with nothing under way.
+    // Returns how often each target is selected while no request is in progress.
     std::map<TargetName, int> choices(const HostRoute &route, Instant now, int times = 200)
     {
         std::map<TargetName, int> counts;
@@ -87,7 +87,7 @@
 
 TEST_GROUP(TargetBalancer) {};
 
-// Plays 200 requests of 300 ms, ten a second, one after the other and overlapping.
+// Simulates 200 overlapping requests of 300 ms each, started at ten per second.
 TEST(TargetBalancer, equalTargetsShareTheRequests)
 {
     constexpr int Requests = 200;
@@ -150,7 +150,7 @@
     CHECK_TRUE(service.choices(service.once, Start + Seconds(90))[Balanced::name(0)] > 20);
 }
 
-// Failure: healthy capacity is lost: all requests wait at one target though another is idle.
+// Guards against lost capacity: all requests wait at one target although another is idle.
 TEST(TargetBalancer, suspectIsUsedOnceTheOthersAreFull)
 {
     Balanced service({ Here, Here });
@@ -162,7 +162,7 @@
     CHECK_TRUE(service.balancer.choose({ &service.idempotent, {}, {} }, later)->id == Balanced::name(0));
 }
 
-// Failure: a target that was restarted is avoided for what it did before, or counted as loaded for ever.
+// Guards against a restarted target being avoided for failures of its previous instance, or counted as loaded forever.
 TEST(TargetBalancer, OfATargetThatHasStartedAgainNothingIsKnown)
 {
     std::vector<Endpoint> restarted;
@@ -202,7 +202,8 @@
     CHECK_EQUAL(0, service.choices(service.once, Start)[Balanced::name(0)]);
 }
 
-// Failure: most of the bytes that are billed between failure domains belong to requests whose answers are small.
+// Guards against large request bodies crossing failure domains, where bytes are billed, because their responses are
+// small.
 TEST(TargetBalancer, largeRequestsStayInTheirDomain)
 {
     Balanced service({ Here, There });
@@ -227,7 +228,7 @@
     CHECK_EQUAL(0, service.choices(service.large, Start)[Balanced::name(1)]);
 }
 
-// Failure: requests that run only once are sent, one after the other, to a target that answers none of them.
+// Guards against sending non-idempotent requests one after the other to a target that doesn't respond to any of them.
 TEST(TargetBalancer, silenceOfATargetWithRequestsUnderWayCounts)
 {
     Balanced service({ Here, Here });
@@ -293,7 +294,7 @@
     CHECK_TRUE(median > Millis(200) && median < Millis(400));
 }
 
-// Failure: most of a service's requests go to a few targets while healthy ones stay idle for seconds.
+// Guards against sending most of a service's requests to a few targets while healthy ones stay idle for seconds.
 TEST(TargetBalancer, whereMostTargetsAreUnusedTheyAreUsedOneAfterTheOther)
 {
     Balanced service(std::vector<FailureDomain>(10, Here));
@@ -312,7 +313,7 @@
     CHECK_TRUE(used.size() >= 7);
 }
 
-// Failure: requests that run only once are lost to targets that have failed a moment ago, while others failed long ago.
+// Guards against losing non-idempotent requests to targets that have just failed, while others failed long ago.
 TEST(TargetBalancer, whatFailedLongestAgoIsTriedFirst)
 {
     Balanced service(std::vector<FailureDomain>(10, Here));
@@ -329,7 +330,7 @@
     CHECK_TRUE(chosen.contains(Balanced::name(9)));
 }
 
-// Failure: most of the few targets that are well get nothing for two seconds, while nearly all others are sick.
+// Guards against healthy targets staying unused for two seconds while nearly all others are faulty.
 TEST(TargetBalancer, whatFailedSecondsAgoIsUsedWhereMostAreSick)
 {
     constexpr std::size_t Sick = 20;
@@ -354,7 +355,8 @@
                && used.contains(Balanced::name(2)));
 }
 
-// Failure: a third of the bookings that are lost go to targets that have just failed one, while nearly all are well.
+// Guards against losing non-idempotent requests to targets that have just failed one, while nearly all targets are
+// healthy. These were a third of all lost requests.
 TEST(TargetBalancer, whatHasJustFailedIsLeftAloneWhereMostAreWell)
 {
     constexpr std::size_t Targets = 34;
@@ -385,7 +387,7 @@
     CHECK_FALSE(chosen.contains(Balanced::name(0)) || chosen.contains(Balanced::name(1)));
 }
 
-// Who asks why a request was kept from a target, or wasn't, needs to know when the target came under suspicion.
+// Operators need to know when a target became suspected, to explain why a request avoided it or didn't.
 TEST(TargetBalancer, TellsOnceThatATargetIsSuspectedAndOnceThatItIsTrusted)
 {
     std::vector<SuspicionChange> told;
@@ -407,7 +409,7 @@
     CHECK(told[1].evidence == AttemptResult::Success);
 }
 
-// Failure: a download fails at one target and then at the next, which was known to be doubtful.
+// Guards against a download that fails at one target and then at another whose risk was known to be high.
 TEST(TargetBalancer, TheLastAttemptGoesWhereItIsSafest)
 {
     Balanced balanced({ Here, There });
@@ -426,7 +428,7 @@
     STRCMP_EQUAL("target-1", balanced.balancer.choose(last, now)->id.value().c_str());
 }
 
-// Failure: targets that reset requests get one each few seconds, each of which is lost.
+// Guards against targets that reset requests receiving one every few seconds, each of which is lost.
 TEST(TargetBalancer, spreadingKeepsRequestsThatRunOnceFromSuspects)
 {
     constexpr std::size_t Targets = 10;
@@ -444,7 +446,7 @@
     CHECK_EQUAL(Targets - Suspects, chosen.size());
 }
 
-// Failure: while many of a service's requests fail, a third of its sound targets gets none for two seconds.
+// Guards against a third of the healthy targets staying unused for two seconds while many of a service's requests fail.
 TEST(TargetBalancer, whereManyAreUnusedDoubtfulTargetsAreTriedAsWell)
 {
     Balanced balanced(std::vector<FailureDomain>(10, Here));
@@ -463,7 +465,7 @@
 namespace
 {
 
-// Two targets whose route's answers take 300 ms.
+// Two targets with recorded responses of 300 ms on each route.
 struct Answering : Balanced {
     Answering()
         : Balanced({ Here, Here })
@@ -487,7 +489,8 @@
 
 } // namespace
 
-// Failure: several proxies in turn lose requests to a target that hangs, each up to the requests' deadline.
+// Guards against several proxies losing requests one after the other to a target that hangs, each up to the request's
+// deadline.
 TEST(TargetBalancer, SilenceIsToldToTheOthersBeforeTheAttemptEnds)
 {
     Answering one;
@@ -518,7 +521,7 @@
     DOUBLES_EQUAL(SicknessModel::evidenceOf(AttemptResult::Success).logRatio(), *silence + *answer, 1e-9);
 }
 
-// Failure: the target that a request was just rescued from is chosen again for the next one.
+// Guards against selecting the same target again right after a hedge rescued a request from it.
 TEST(TargetBalancer, AnAttemptThatLostToItsHedgeIsRememberedByItsSilence)
 {
     Answering service;
@@ -539,7 +542,7 @@
     CHECK(service.balancer.dump(late).front().risk < 0.1);
 }
 
-// Failure: while a tenth of a service's requests fail, targets that are well get nothing for two seconds.
+// Guards against healthy targets staying unused for two seconds while a tenth of a service's requests fail.
 TEST(TargetBalancer, UnusedTargetsThatLookWellAreUsedByRequestsThatRunOnce)
 {
     Balanced service(std::vector<FailureDomain>(8, Here));
--- a/src/policy/targetchooser.cpp
+++ b/src/policy/targetchooser.cpp
@@ -9,14 +9,14 @@
 namespace internal
 {
 
-// How often a target on trial is preferred for an idempotent request.
+// The share of idempotent requests for which a target on trial is preferred.
 constexpr double TrialShare = 0.05;
-// Both ways between failure domains.
+// Round-trip time between failure domains.
 constexpr Duration CrossDomain = Millis { 3 };
-// A reported load has lost about two thirds of its worth after this time.
+// A reported load has lost about two thirds of its weight after this time.
 constexpr double ReportLifetimeSeconds = 0.5;
-// A target's own latency counts within these bounds of the candidates' average. Unbounded, a few slow answers would
-// keep a target from ever being chosen, and nothing would show whether it is sick or was unlucky.
+// A target's own latency is limited to this factor around the candidates' average. Without the limit, a few slow
+// responses would keep a target from ever being selected, and nothing would show whether it is faulty or was unlucky.
 constexpr double LatencyBound = 1.25;
 
 bool isExcluded(const ChooseRequest &request, TargetIndex index)
@@ -24,8 +24,8 @@
     return std::find(request.excluded.begin(), request.excluded.end(), index) != request.excluded.end();
 }
 
-// Returns how many requests are under way at the target as far as it is known: ours, and the others' as reported. A
-// report below what we have there ourselves is wrong, by age or by intent, and isn't believed.
+// Returns the known number of requests in progress at the target: those of this process, and those of other proxies as
+// reported. A report below this process's own number is wrong, because it is old or false, and is ignored.
 double occupancy(const TargetView &target)
 {
     const auto own = static_cast<double>(target.inFlight);
@@ -54,7 +54,7 @@
 
 using Candidates = std::vector<const TargetView *>;
 
-// Takes one candidate out at random, by weight. There must be one.
+// Removes and returns one candidate at random, by weight. There must be one.
 const TargetView *draw(Candidates &candidates, std::mt19937_64 &random)
 {
     double sum = 0;
--- a/src/policy/targetchoosertest.cpp
+++ b/src/policy/targetchoosertest.cpp
@@ -4,7 +4,7 @@
 
 #include <rapidcheck.h>
 
-// Last: it makes `new` a macro, which other headers don't bear.
+// Must come last: it redefines `new` as a macro, which breaks other headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace mulberryplank;
--- a/src/policy/targethealth.cpp
+++ b/src/policy/targethealth.cpp
@@ -105,7 +105,7 @@
         target->lifecycle.observeTrial(error, d->detector.latencyStep(attempt));
         return;
     }
-    // Requests that were under way when the target was ejected tell nothing new.
+    // Requests that were in progress when the target was ejected are no new evidence.
     if (phase != TargetPhase::Ejected) {
         d->detector.observe(attempt, now, !target->lifecycle.isCold());
     }
@@ -207,7 +207,7 @@
         return;
     }
     d->joint.receive(key, report.evidence, now);
-    // An ejection waits for nothing but this confirmation: it takes effect now, not with the next tick.
+    // An ejection may be waiting for this confirmation only: it takes effect immediately, not with the next tick.
     d->ejectConfirmed(now);
 }
 
--- a/src/policy/targethealthdecisions.cpp
+++ b/src/policy/targethealthdecisions.cpp
@@ -31,8 +31,8 @@
         }
         Target &target = *targets[index];
         if (target.resetPending && now - target.ejectedAt > internal::EvidenceLifetime) {
-            // By now every proxy has had the time to eject on this evidence. Kept any longer it would eject the target
-            // again as soon as it came back.
+            // Every proxy has had the time to eject on this evidence. If it were kept longer, it would eject the target
+            // again as soon as it returned.
             detector.reset(index);
             target.resetPending = false;
         }
@@ -49,8 +49,8 @@
     }
 }
 
-// Returns what counts for ejection of the evidence from all proxies: none unless enough of them support it, and no more
-// than the others' part allows when the proxy that suspects most is left out.
+// Returns the part of the evidence from all proxies that counts for ejection. It is 0 unless enough proxies support it,
+// and it is limited by the evidence of the others without the proxy that suspects the target most.
 double ServiceHealth::Private::decisiveSuspicion(const JointView &view) const
 {
     if (peers.empty()) {
@@ -76,7 +76,8 @@
     }
     const bool relapse = target.lifecycle.phase() == TargetPhase::SlowStart && target.lifecycle.needsClaim();
     const double needed = threshold() * (relapse ? internal::RelapseThreshold : 1);
-    // Most others have ejected it and send no more evidence: what is missing to the threshold here won't come.
+    // Most other proxies have ejected the target and send no more evidence, so the rest of the threshold can't be
+    // reached here.
     const bool follows = 2 * claims.claimsElsewhere(target.id, now) > peers.size()
                          && target.joint.suspicion >= internal::FollowFrom * threshold();
     const bool everywhere = target.decisive >= needed || follows;
@@ -95,9 +96,9 @@
     target.sick = everywhere || path;
 }
 
-// Returns true if this process may be the one to try an ejected target. One proxy tries first, the one that probes it;
-// the others follow when it finds the target well. If all tried at once, a target that is still sick would hurt as many
-// requests as there are proxies, at each of its trials.
+// Returns true if this process may start the trial of an ejected target. The target's prober tries it first, and the
+// other proxies follow when the prober reports it as healthy. If all proxies tried at the same time, each trial of a
+// target that is still faulty would harm as many requests as there are proxies.
 bool ServiceHealth::Private::mayTry(const Target &target, Instant now) const
 {
     if (target.pathOnly || peers.empty()) {
@@ -110,7 +111,7 @@
     return first == settings.self || joint.findsWell(key, target.id, now) || !claims.claimedBy(key, target.id, now);
 }
 
-// Returns true if the targets look as if the service had changed and not single targets.
+// Returns true if the whole service seems to have changed, rather than single targets.
 bool ServiceHealth::Private::checkAllSlow(Instant now)
 {
     std::vector<double> serving;
@@ -130,7 +131,8 @@
         if (now >= allSlowUntil) {
             emit(Event::AllSlow, TargetName {}, std::to_string(suspicious) + " of " + std::to_string(serving.size()));
         }
-        // The whole service has changed, by load or by something behind it: what was typical a moment ago isn't now.
+        // The whole service has changed, because of load or a dependency: latencies that were typical before no longer
+        // are.
         detector.relearn();
         allSlowUntil = now + internal::AllSlowPause;
     }
@@ -138,8 +140,8 @@
     return now < allSlowUntil || serving[rank] >= internal::HoldFrom * threshold();
 }
 
-// Lowers the weight of as many targets as ejection could take away, the worst ones, and no more: a service whose
-// targets are all suspected would otherwise lose its capacity to suspicion alone.
+// Allows lowering the weight of the most severely suspected targets, but of no more targets than ejection could remove.
+// Otherwise a service whose targets are all suspected would lose its capacity to suspicion alone.
 void ServiceHealth::Private::limitReducedWeights()
 {
     std::vector<Target *> worst;
@@ -184,8 +186,8 @@
         return;
     }
     if (now - target.claimedAt > internal::ClaimPatience) {
-        // Unconfirmed claims count against the floor at every other proxy. One that can't come into effect, because a
-        // peer doesn't hear us, must not keep the others from ejecting.
+        // Unconfirmed claims count against the floor at every other proxy. A claim that can't take effect, because a
+        // peer doesn't receive our reports, must not keep the other proxies from ejecting.
         floorBinds(target, now);
         claims.release(target.id);
     }
@@ -199,7 +201,7 @@
     waiting.retryClaimAt = now + fromSeconds(wait(random));
     if (now - floorEventAt >= internal::FloorEventInterval || floorEventAt == Instant {}) {
         floorEventAt = now;
-        emit(Event::FloorBinds, target.name, "sick, kept in service for the floor of " + std::to_string(floor()));
+        emit(Event::FloorBinds, target.name, "faulty, kept in service for the floor of " + std::to_string(floor()));
     }
 }
 
@@ -238,8 +240,8 @@
     stepAll(now);
 }
 
-// Brings every phase in line with the claims. To be called whenever claims were ticked: a claim that was given up for a
-// worse target no longer counts at the other proxies, so its target must be back in service by then.
+// Updates every phase from the claims. Must be called whenever claims were ticked: a claim withdrawn in favor of a more
+// severe one no longer counts at the other proxies, so its target must be back in service by then.
 void ServiceHealth::Private::stepAll(Instant now)
 {
     for (TargetIndex index = 0; index < targets.size(); ++index) {
--- a/src/policy/targethealthprivate.h
+++ b/src/policy/targethealthprivate.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What targethealth.cpp (the public functions) and targethealthdecisions.cpp (what a tick decides) share.
+// Shared by targethealth.cpp (the public functions) and targethealthdecisions.cpp (the decisions of a tick).
 
 #include <array>
 #include <random>
@@ -18,10 +18,10 @@
 namespace internal
 {
 
-// What one step of `detection` stands for. docs/pages/health.md gives the curves that the numbers were read from.
+// The thresholds of one level of `detection`. docs/pages/health.md shows the curves that the numbers come from.
 struct Threshold {
-    double single; // joint log likelihood ratio that ejects, for a lone proxy
-    double perPeer; // added for each further proxy, since the sum of their noise grows with them
+    double single; // joint log likelihood ratio at which a lone proxy ejects
+    double perPeer; // added for each further proxy, since the sum of their noise grows
 };
 
 constexpr std::array<Threshold, 3> Thresholds {
@@ -30,19 +30,20 @@
     Threshold { 27, 1.4 }, // cautious
 };
 
-// Without the proxy that suspects the target most, the others' evidence must still come to this much of the threshold:
-// else a single faulty proxy could eject whatever it likes. Less will do where nobody gets answers that contradict.
+// The evidence of the other proxies, without the one that suspects the target most, must still reach this share of the
+// threshold. Otherwise a single faulty proxy could eject any target. A smaller share suffices if no proxy receives
+// responses that contradict.
 constexpr double LeastFromOthers = 0.6;
 constexpr double LeastFromOthersIfNoneContradicts = 0.45;
 constexpr double MostFromOneProxy = 1; // of the threshold
-constexpr double FollowFrom = 0.5; // of the threshold, when most other proxies have ejected
-constexpr double PathMargin = 2; // over the threshold of a lone proxy
-constexpr double LeastSupport = 1.8; // log likelihood ratio, over the noise
+constexpr double FollowFrom = 0.5; // of the threshold, when most other proxies have ejected the target
+constexpr double PathMargin = 2; // added to the threshold of a lone proxy
+constexpr double LeastSupport = 1.8; // log likelihood ratio above the noise
 constexpr double RelapseThreshold = 0.5; // of the threshold, during the slow start after an ejection
 constexpr double UrgentFrom = 0.15; // of the threshold, by this process's own traffic
 constexpr double AllSlowFrom = 0.3; // of the threshold
 constexpr double AllSlowShare = 2.0 / 3.0; // of the targets in service
-// While even the least suspicious third of the targets in service shows this much, nothing is ejected.
+// While even the least suspicious third of the targets in service shows this much suspicion, no target is ejected.
 constexpr double HoldFrom = 0.15; // of the threshold
 constexpr double HoldRank = 1.0 / 3.0;
 constexpr double SuspicionLimit = 3; // times the threshold
@@ -52,7 +53,7 @@
 constexpr Duration UrgentInterval = Millis { 100 };
 constexpr Duration NewsInterval = Millis { 50 };
 constexpr Duration EvidenceLifetime = Millis { 3'000 };
-constexpr Duration PathPatience = Millis { 1'000 }; // for the others' reports to arrive
+constexpr Duration PathPatience = Millis { 1'000 }; // until the reports of the other proxies should have arrived
 constexpr Duration ClaimPatience = Millis { 3'000 };
 constexpr Duration AllSlowPause = Millis { 2'000 };
 constexpr Duration FloorEventInterval = Millis { 10'000 };
@@ -74,11 +75,11 @@
         TargetEvidence own;
         JointView joint;
         double decisive = 0; // the part of the joint suspicion that counts for ejection
-        double badness = 0; // joint suspicion; kept while the target is ejected
+        double badness = 0; // joint suspicion; frozen while the target is ejected
         bool sick = false;
         bool pathOnly = false;
         Instant pathSince {};
-        bool resetPending = false; // the evidence that led to an ejection still counts
+        bool resetPending = false; // the evidence that caused an ejection still counts
         Instant ejectedAt {};
         Instant claimedAt {};
         Instant retryClaimAt {};
@@ -134,7 +135,7 @@
     ProbePlan probePlan { ProbePlanSettings {} };
     std::mt19937_64 random;
     std::vector<PeerId> peers;
-    std::vector<std::unique_ptr<Target>> targets; // empty for removed ones
+    std::vector<std::unique_ptr<Target>> targets; // null for removed targets
     std::unordered_map<TargetId, TargetIndex> byId;
     std::vector<HealthEvent> events;
     Instant lastTick {};
--- a/src/policy/targethealthtest.cpp
+++ b/src/policy/targethealthtest.cpp
@@ -8,7 +8,7 @@
 
 #include <rapidcheck.h>
 
-// Last: it makes `new` a macro, which other headers don't bear.
+// Must come last: it redefines `new` as a macro, which breaks other headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace mulberryplank;
@@ -18,11 +18,11 @@
 
 constexpr Duration Tick = Millis { 100 };
 
-// Several proxies before the same targets, with steady traffic from each to each, on a clock of their own.
+// Simulates several proxies in front of the same targets, with steady traffic from each to each on a virtual clock.
 class Carriers
 {
 public:
-    // What happens to one request; the latency of a healthy one is passed in.
+    // Determines the outcome of one request. Its argument is the attempt at a healthy target.
     using Behaviour = std::function<Attempt(std::size_t proxy, Attempt healthy)>;
 
     Carriers(std::uint32_t seed, std::size_t proxies, std::size_t targets, Detection detection = Detection::Fast)
@@ -167,10 +167,10 @@
     }
 }
 
-// Failure: a proxy drops out of everybody's favour a target that serves well.
+// Guards against a single faulty proxy ejecting a healthy target at the other proxies.
 TEST(TargetHealth, aLoneLiarEjectsNothingAtTheOthers)
 {
-    CHECK_TRUE(rc::check("liar", [](std::uint32_t seed) {
+    CHECK_TRUE(rc::check("false reports", [](std::uint32_t seed) {
         Carriers carriers(seed, 3 + seed % 4, 6);
         carriers.falsify = [](std::size_t proxy, EvidenceReport &report) {
             if (proxy == 0) {
@@ -203,7 +203,7 @@
     LONGS_EQUAL(1, carriers.countEvents(Event::PathSuspected));
 }
 
-// Failure: in a rush hour a service loses its targets one after the other.
+// Guards against a service losing its targets one after the other under peak load.
 TEST(TargetHealth, ejectsNothingWhenAllTargetsSlowDownTogether)
 {
     CHECK_TRUE(rc::check("all slow", [](std::uint32_t seed) {
@@ -236,7 +236,7 @@
     CHECK_TRUE(carriers.isEjected(0, 0));
 }
 
-// Failure: callers are refused although targets would serve them, in a fault of many targets at once.
+// Guards against rejecting callers although targets could serve them, when many targets are faulty at the same time.
 TEST(TargetHealth, keepsTheFloorWhenMostTargetsAreSick)
 {
     CHECK_TRUE(rc::check("floor", [](std::uint32_t seed) {
@@ -263,9 +263,9 @@
     }));
 }
 
-// The worst of 400 random faults (bench-health --search 400) that is found at all: 5.4 times slower for 1.4 s in every
-// 2.8 s.
-// Failure: a target hurts requests for minutes though it is found again and again.
+// Guards against a target harming requests for minutes although it is detected again and again. The fault, 5.4 times
+// slower for 1.4 s in every 2.8 s, is the worst of 400 random ones (bench-health --search 400) among those that are
+// detected at all.
 TEST(TargetHealth, aFlappingTargetHurtsEverLess)
 {
     int hurtSoon = 0;
@@ -292,7 +292,7 @@
         carriers.run(Seconds { 60 });
         hurtLate += hurt;
     }
-    // 250 and 68 here; 483 and 463 with ejections that don't grow.
+    // Requests to the slow target: 250 and 68, or 483 and 463 without growing ejection times.
     CHECK_TRUE(hurtSoon < 350);
     CHECK_TRUE(2 * hurtLate < hurtSoon);
 }
--- a/src/policy/targetusetest.cpp
+++ b/src/policy/targetusetest.cpp
@@ -1,5 +1,5 @@
-// Several balancers of one service in front of the same targets, on virtual time, with news between them that may be
-// lost or late.
+// Simulates several balancers of one service in front of the same targets on virtual time. Updates between the
+// balancers may be lost or late.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -15,14 +15,14 @@
 {
 
 constexpr Instant Start { Seconds(1'000) };
-constexpr Duration Tick = Millis(500); // between two reports of what was used
+constexpr Duration Tick = Millis(500); // between two updates on which targets were used
 
-// How a fleet is played.
+// Parameters of the simulation.
 struct FleetPlan {
     std::size_t gateways = 3;
     std::size_t targets = 10;
-    double perSecond = 40; // requests, over the fleet
-    double sickShare = 0.3; // of the targets at a time, of which three quarters of the requests hang
+    double perSecond = 40; // requests per second of the whole fleet
+    double sickShare = 0.3; // of the targets at a time; three quarters of the requests to these hang
     double lostNews = 0; // share of the messages
     Duration newsDelay = Millis(1);
     RouteKind kind = RouteKind::Once;
@@ -74,8 +74,8 @@
         }
     }
 
-    // Returns the least part of the sound targets that got a request within two seconds. A target that failed by itself
-    // is sound again after two seconds.
+    // Returns the minimum share of healthy targets that received a request within two seconds. A target that failed by
+    // itself counts as healthy two seconds after it recovers.
     double leastUsed(Instant from) const
     {
         double least = 1;
@@ -94,7 +94,7 @@
         return least;
     }
 
-    // Returns the likelihood that a sound target gets nothing for two seconds.
+    // Returns the probability that a healthy target receives no request for two seconds.
     double unusedShare(Instant from) const
     {
         double sound = 0;
@@ -115,10 +115,10 @@
     }
 
 private:
-    static constexpr double SpellSeconds = 5; // that a target is sick at a time
+    static constexpr double SpellSeconds = 5; // mean duration of a fault
     static constexpr Duration Window = Seconds(2);
 
-    // A spell of sickness.
+    // A period in which a target is faulty.
     struct Spell {
         Instant begin;
         Instant end;
@@ -262,14 +262,15 @@
     double m_hung = 0;
 };
 
-constexpr Duration Settling = Seconds(2); // at first nothing is known of any target
-constexpr double FloorShare = 0.7; // of the targets, that the platform's operators want in use in each two seconds
+constexpr Duration Settling = Seconds(2); // nothing is known of any target at first
+constexpr double FloorShare = 0.7; // share of the targets that the platform's operators want in use in each two seconds
 
 } // namespace
 
 TEST_GROUP(TargetUse) {};
 
-// Failure: a third of a service's sound targets gets nothing for two seconds, and then a tenth of the requests fails.
+// Guards against a third of a service's healthy targets staying unused for two seconds, after which a tenth of the
+// requests fails.
 TEST(TargetUse, MostTargetsAreInUseInEachTwoSecondsWhateverFails)
 {
     CHECK_TRUE(rc::check("use of targets", [] {
@@ -287,10 +288,11 @@
     }));
 }
 
-// Guards against sound targets left unused because they failed some seconds ago.
+// Guards against healthy targets staying unused because they failed some seconds ago.
 TEST(TargetUse, SoundTargetsThatWereSickAreSoonInUseAgain)
 {
-    constexpr double MostUnused = 0.05; // of ten sound targets more than three are then unused once in a thousand times
+    // More than three of ten healthy targets are then unused in one of a thousand cases.
+    constexpr double MostUnused = 0.05;
     constexpr int Seeds = 5;
     for (const std::size_t targets : { 11, 60 }) {
         for (const double sickShare : { 0.08, 0.3 }) {
@@ -310,8 +312,9 @@
     }
 }
 
-// With 30% of the targets sick, 22.5% of the requests would hang if all targets got the same. Before silence was told
-// to the others 6.2% hung, with it 4.1%; with six gateways instead of three 6.5%, since each knows less by itself.
+// With 30% of the targets faulty, 22.5% of the requests would hang if all targets received the same share. Without
+// no-response reports to the other proxies 6.2% hang, with them 4.1%; with six gateways instead of three 6.5%, since
+// each of them observes less by itself.
 TEST(TargetUse, FewRequestsGoToTargetsThatHang)
 {
     double hung = 0;
