--- a/bench/healthmodel/world.h
+++ b/bench/healthmodel/world.h
@@ -433,14 +433,14 @@
         for (std::uint32_t target = 0; target < m_targets.size(); ++target) {
             const std::vector<Duration> &waiting = proxy.waiting[target];
             if (waiting.empty()) {
-                proxy.judge->outstanding(target, Duration {}, 0, instant(m_now));
+                proxy.judge->observeOutstanding(target, Duration {}, 0, instant(m_now));
                 continue;
             }
             const Duration oldest = m_now - *std::min_element(waiting.begin(), waiting.end());
             const auto count = std::count_if(waiting.begin(), waiting.end(), [&](Duration start) {
                 return m_now - start >= oldest / 2;
             });
-            proxy.judge->outstanding(target, oldest, static_cast<std::uint32_t>(count), instant(m_now));
+            proxy.judge->observeOutstanding(target, oldest, static_cast<std::uint32_t>(count), instant(m_now));
         }
         proxy.judge->tick(instant(m_now));
         for (const auto &shadow : proxy.shadows) {
--- a/bench/requestdecisions.cpp
+++ b/bench/requestdecisions.cpp
@@ -71,7 +71,7 @@
     std::int64_t latency = 0;
     for ([[maybe_unused]] auto step : state) {
         latency = (latency + 7'919) % 400'000;
-        hedge.onLatency(std::chrono::microseconds(latency));
+        hedge.recordLatency(std::chrono::microseconds(latency));
         benchmark::DoNotOptimize(hedge.delay());
     }
 }
--- a/include/mulberryplank/policy/detector.h
+++ b/include/mulberryplank/policy/detector.h
@@ -16,27 +16,27 @@
 class LatencyHistogram
 {
 public:
-    static constexpr std::size_t ClassCount = 64;
+    static constexpr std::size_t BucketCount = 64;
 
     // Returns the bucket of `latency`. Buckets start at 0.1 ms, with four buckets for each doubling.
-    static std::size_t classOf(Duration latency);
+    static std::size_t bucketOf(Duration latency);
 
     // Returns the latency in the middle of a bucket.
-    static Duration middleOf(std::size_t latencyClass);
+    static Duration bucketMidpoint(std::size_t bucket);
 
-    void add(std::size_t latencyClass);
-    void fade(float factor);
+    void add(std::size_t bucket);
+    void decay(float factor);
 
     float total() const;
 
     // Returns the weight below a bucket plus half of the weight within it.
-    float below(std::size_t latencyClass) const;
+    float below(std::size_t bucket) const;
 
     // Returns the latency that the share `rank`, 0 to 1, of the weight doesn't exceed; 0 if there is no weight.
     Duration quantile(double rank) const;
 
 private:
-    std::array<float, ClassCount> m_weights {};
+    std::array<float, BucketCount> m_weights {};
     float m_total = 0;
 };
 
@@ -61,7 +61,7 @@
 };
 
 // Returns the steps of the test of `faultyShare` against `healthyShare` of errors. Both must be above 0 and below 1.
-ErrorTestSteps errorTestSteps(double healthyShare, double sickShare);
+ErrorTestSteps errorTestSteps(double healthyShare, double faultyShare);
 
 // Returns what a latency at rank `rank` (the share of comparable latencies below it) adds to the test for slowness. The
 // ranks u of a healthy target are uniform over 0 to 1 whatever the distribution of latencies. The test compares the
@@ -89,10 +89,10 @@
 
     // Records an attempt in O(1). `useLatency` is false while the target may be slow for a legitimate reason, such as a
     // cold start.
-    void observe(const Attempt &attempt, Instant now, bool latencyCounts);
+    void observe(const Attempt &attempt, Instant now, bool useLatency);
 
     // Records requests that are still waiting. See ServiceHealth::observeOutstanding().
-    void outstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now);
+    void observeOutstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now);
 
     // Updates the reference distributions. Must be called about 10 times a second.
     void tick(Instant now);
@@ -117,13 +117,13 @@
 
     // Resets the tests of all targets and reduces the weight of old latencies. Used after a change that affects the
     // whole service.
-    void relearn();
+    void rebaseline();
 
 private:
     struct Counts {
         float attempts = 0;
         float errors = 0;
-        float wrongAnswers = 0;
+        float wrongResponses = 0;
     };
 
     struct Target {
@@ -132,24 +132,24 @@
         std::array<SequentialTest, RouteClasses> verySlow;
         SequentialTest manyErrors;
         SequentialTest someErrors;
-        SequentialTest wrongAnswers;
+        SequentialTest wrongResponses;
         ErrorTestSteps manyErrorsSteps;
         ErrorTestSteps someErrorsSteps;
-        ErrorTestSteps wrongAnswersSteps;
+        ErrorTestSteps wrongResponseSteps;
         Counts counts;
-        double lately = 0; // decays within a second
+        double decayedAttempts = 0; // decays within a second
         double waiting = 0; // log likelihood ratio of the requests that are still waiting
         double meanLatency = 0; // seconds
         Instant lastEvidence {};
-        Instant lastAnswer {};
+        Instant lastResponse {};
     };
 
     double rankOf(const Target &target, std::size_t route, Duration latency) const;
-    double shareStillWaiting(Duration age) const;
+    double survivalShare(Duration age) const;
     void observeErrors(Target &target, AttemptResult result);
     void observeLatency(Target &target, std::size_t route, Duration latency, bool success);
     void updateSteps(Target &target) const;
-    void fade();
+    void decay();
 
     double m_limit;
     std::vector<std::unique_ptr<Target>> m_targets; // null for removed targets
@@ -157,7 +157,7 @@
     LatencyHistogram m_allRoutes;
     Counts m_counts; // of all targets
     double m_meanLatency = 0; // seconds
-    Instant m_fadedAt {};
+    Instant m_decayedAt {};
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/evidence.h
+++ b/include/mulberryplank/policy/evidence.h
@@ -84,7 +84,7 @@
     double suspicion = 0; // sum over the proxies; noise is subtracted from each one's part, and the rest is capped
     double largest = 0; // the largest part of a single proxy
     std::size_t supporters = 0; // proxies that suspect it
-    std::size_t informed = 0; // proxies that have sent it requests recently
+    std::size_t observers = 0; // proxies that have sent it requests recently
 };
 
 // Keeps the newest evidence of each peer and combines it. Not synchronized.
@@ -101,11 +101,11 @@
     void receive(PeerKey peer, const std::vector<TargetEvidence> &evidence, Instant now);
 
     // Returns true if, according to the peer's newest report, it sends requests to the target and observes no fault.
-    bool findsWell(PeerKey peer, TargetId target, Instant now) const;
+    bool reportsHealthy(PeerKey peer, TargetId target, Instant now) const;
 
     // Returns the combined evidence of this process (`own`) and its peers about a target. Each proxy's part of the sum
     // is at most `maxPerProxy`. A proxy whose part is at least `minSupport` is a supporter.
-    JointView view(const TargetEvidence &own, double mostFromOne, double leastSupport, Instant now) const;
+    JointView view(const TargetEvidence &own, double maxPerProxy, double minSupport, Instant now) const;
 
 private:
     struct PeerEvidence {
--- a/include/mulberryplank/policy/sicknessmodel.h
+++ b/include/mulberryplank/policy/faultmodel.h
@@ -7,16 +7,16 @@
 {
 
 // The likelihoods of an observation if the target is healthy and if it is faulty.
-struct SicknessEvidence {
+struct FaultEvidence {
     double ifHealthy = 1;
-    double ifSick = 1;
+    double ifFaulty = 1;
 
     // Returns the log likelihood ratio: the logarithm of the factor by which the odds of a fault change.
     double logRatio() const;
 };
 
 // The estimated probability that a target is faulty.
-struct SicknessBelief {
+struct FaultEstimate {
     double value = -1; // at `at`; below 0 if nothing is known about the target
     Instant at {};
 };
@@ -25,35 +25,35 @@
 // probability by Bayes' rule, from its likelihood at a faulty and at a healthy target. Between responses the
 // probability drifts towards the current share of faulty targets of the service. An attempt without a response is
 // evidence as well, weighed by the share of healthy targets' responses that take as long. Not synchronized.
-class SicknessModel
+class FaultModel
 {
 public:
-    SicknessModel();
+    FaultModel();
 
     // Returns the probability that a target with that estimate is faulty at `now`.
-    double beliefOf(const SicknessBelief &belief, Instant now) const;
+    double faultProbabilityOf(const FaultEstimate &probability, Instant now) const;
 
     // Returns the probability that an attempt fails at a target that is faulty with the given probability.
-    static double failureRisk(double belief);
+    static double failureRisk(double probability);
 
     // Returns the evidence in an attempt's result. A cancelled attempt is no evidence.
-    static SicknessEvidence evidenceOf(AttemptResult result);
+    static FaultEvidence evidenceOf(AttemptResult result);
 
     // Returns the evidence in an attempt without a response so far, where `survival` is the share of healthy targets'
     // responses that take longer.
-    static SicknessEvidence evidenceOfSilence(double survival);
+    static FaultEvidence evidenceOfNoResponse(double survival);
 
     // Updates the estimate with evidence, given as a sum of log likelihood ratios.
-    void learn(SicknessBelief &belief, double logRatio, Instant now) const;
+    void updateEstimate(FaultEstimate &probability, double logRatio, Instant now) const;
 
     // Returns the fault probability after that evidence, without changing the estimate.
-    double beliefAfter(const SicknessBelief &belief, double logRatio, Instant now) const;
+    double probabilityAfter(const FaultEstimate &probability, double logRatio, Instant now) const;
 
     // Moves the share of faulty targets slowly towards the mean fault probability of the service's targets.
-    void followMean(double meanBelief);
+    void updateFaultyShare(double meanProbability);
 
 private:
-    double m_sickShare; // estimated share of the targets that are faulty
+    double m_faultyShare; // estimated share of the targets that are faulty
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/floor.h
+++ b/include/mulberryplank/policy/floor.h
@@ -19,7 +19,7 @@
 struct EjectionClaimsSettings {
     Duration lease = Millis { 2'000 }; // how long an ejection lasts without confirmation by the peers
     Duration expiry = Millis { 5'000 }; // no report for this long ends a peer's ejections; more than two leases
-    Duration linger = Millis { 15'000 }; // how long a peer still counts after setPeers() removed it
+    Duration retention = Millis { 15'000 }; // how long a peer still counts after setPeers() removed it
 };
 
 //
@@ -40,7 +40,7 @@
 {
 public:
     // The severity of a target's fault. Targets with a larger value are ejected first.
-    using Badness = std::function<double(TargetId)>;
+    using FaultSeverity = std::function<double(TargetId)>;
 
     EjectionClaims(PeerKey self, EjectionClaimsSettings settings);
 
@@ -60,13 +60,13 @@
     void release(TargetId target);
 
     // Returns true while this process may eject the target.
-    bool holds(TargetId target) const;
+    bool isInEffect(TargetId target) const;
 
     // Returns true if this process claims the target, whether or not the claim is in effect.
     bool claims(TargetId target) const;
 
     // Returns how many other responsive proxies claim the target.
-    std::size_t claimsElsewhere(TargetId target, Instant now) const;
+    std::size_t countOtherClaims(TargetId target, Instant now) const;
 
     // Returns true if this peer claims the target and has sent a report recently.
     bool claimedBy(PeerKey peer, TargetId target, Instant now) const;
@@ -79,7 +79,7 @@
     // Returns the withdrawn claims.
     std::vector<TargetId> tick(const std::vector<TargetId> &known,
                                std::size_t floor,
-                               const Badness &badness,
+                               const FaultSeverity &faultSeverity,
                                Instant now);
 
     // Returns how many of `known` any proxy counts as out of service, including the targets that this process claims.
@@ -87,22 +87,22 @@
 
     // Returns true while a claim of this process hasn't been announced or a peer's claim hasn't been confirmed. The
     // next report should then be sent soon.
-    bool hasNews() const;
+    bool needsReport() const;
 
     // Returns true if every peer that hasn't stopped has confirmed a report within the lease.
-    bool leased(Instant now) const;
+    bool hasLease(Instant now) const;
 
 private:
     struct Peer {
         Instant addedAt {};
-        Instant heardAt {};
+        Instant lastReportAt {};
         Instant removedAt {}; // when setPeers() removed it
-        bool named = true;
+        bool listed = true;
         std::uint32_t newest = 0; // sequence number of the newest report received
         std::uint32_t confirmed = 0; // newest sequence number of this process that the peer has confirmed
         std::vector<TargetId> claimed;
         std::vector<TargetId> unavailable;
-        std::set<PeerKey> hears;
+        std::set<PeerKey> receivesFrom;
     };
 
     struct Claim {
@@ -116,13 +116,19 @@
         Instant at {};
     };
 
-    bool isSilent(const Peer &peer, Instant now) const;
+    bool isUnresponsive(const Peer &peer, Instant now) const;
     bool isFresh(const Peer &peer, Instant now) const;
     bool isConfirmed(const Claim &claim, Instant now) const;
-    std::set<TargetId> worstView(Instant now) const;
-    std::vector<TargetId> yield(const std::set<TargetId> &out, std::size_t budget, const Badness &badness, Instant now);
-    std::size_t worseThan(TargetId target, const std::set<TargetId> &out, const Badness &badness, Instant now) const;
-    void forgetLingering(Instant now);
+    std::set<TargetId> outInAnyView(Instant now) const;
+    std::vector<TargetId> giveUpExcess(const std::set<TargetId> &out,
+                                       std::size_t budget,
+                                       const FaultSeverity &faultSeverity,
+                                       Instant now);
+    std::size_t countOutranking(TargetId target,
+                                const std::set<TargetId> &out,
+                                const FaultSeverity &faultSeverity,
+                                Instant now) const;
+    void removeExpiredPeers(Instant now);
 
     PeerKey m_self;
     EjectionClaimsSettings m_settings;
@@ -130,7 +136,7 @@
     std::map<TargetId, Claim> m_claims;
     std::vector<TargetId> m_unavailable;
     std::uint32_t m_sequence = 0;
-    bool m_unconfirmed = false; // a peer's claim that no report of this process has confirmed
+    bool m_hasUnconfirmedPeerClaims = false; // a peer's claim that no report of this process has confirmed
     std::deque<SentReport> m_sent; // within the lease
 };
 
--- a/include/mulberryplank/policy/probeplan.h
+++ b/include/mulberryplank/policy/probeplan.h
@@ -26,7 +26,7 @@
 
     // Returns the proxies that probe `target`. The first one always does; the second one only while views disagree.
     // Returns an empty list if no proxy is assigned.
-    std::vector<PeerId> probers(const std::vector<PeerId> &carriers, TargetId target, bool viewsDisagree) const;
+    std::vector<PeerId> probers(const std::vector<PeerId> &assignedProxies, TargetId target, bool viewsDisagree) const;
 
     // Returns the time between two probes of one prober, such that `proberCount` probers stay within `loadShare`.
     Duration interval(std::size_t proberCount) const;
--- a/include/mulberryplank/policy/targetbalancer.h
+++ b/include/mulberryplank/policy/targetbalancer.h
@@ -8,9 +8,9 @@
 #include <unordered_map>
 #include <vector>
 
+#include "mulberryplank/policy/faultmodel.h"
 #include "mulberryplank/policy/routestatistics.h"
 #include "mulberryplank/policy/routetable.h"
-#include "mulberryplank/policy/sicknessmodel.h"
 #include "mulberryplank/policy/targetdirectory.h"
 #include "mulberryplank/policy/targethealth.h"
 
@@ -38,7 +38,7 @@
 };
 
 // Describes the request that a target is selected for.
-struct ChooseTarget {
+struct TargetSelection {
     const HostRoute *route = nullptr; // must not be nullptr
     std::vector<TargetName> excluded; // targets that were already tried
     std::function<bool(const Endpoint &)> connected; // whether an open connection to the target is available
@@ -47,10 +47,10 @@
 };
 
 // The outcome of an attempt.
-struct AttemptEnd {
+struct AttemptOutcome {
     AttemptResult result = AttemptResult::Success;
     Duration latency {}; // until the last byte of the response, or until the failure
-    std::size_t answerBytes = 0;
+    std::size_t responseBytes = 0;
     std::optional<ReportedLoad> load;
 };
 
@@ -62,7 +62,7 @@
     double load = 0; // estimated number of requests at the target, of all callers
     double expectedMillis = 0; // until the response
     std::optional<Duration> loadAge {}; // of the target's last report; empty if it has sent none
-    bool wasUnused = false; // selected because it was unused; the other proxies should learn of its use at once
+    bool wasUnused = false; // selected because it was unused; must be reported to the other proxies at once
 };
 
 // A target became suspected of being faulty, or is no longer suspected.
@@ -70,7 +70,7 @@
     TargetName id;
     FailureDomain failureDomain;
     bool suspected = false;
-    double belief = 0; // the probability that it is faulty
+    double faultProbability = 0; // the probability that it is faulty
     AttemptResult evidence = AttemptResult::Success; // the result, at any proxy, that caused the change
 };
 
@@ -124,7 +124,7 @@
     void setListFresh(bool fresh);
 
     // Returns the target for a request, or nothing if no target accepts new work.
-    std::optional<ChosenTarget> choose(const ChooseTarget &wanted, Instant now);
+    std::optional<ChosenTarget> choose(const TargetSelection &selection, Instant now);
 
     // Records the start of an attempt at a target that choose() returned.
     void begin(const TargetName &id, const HostRoute &route, Instant now);
@@ -132,32 +132,32 @@
     // Records the end of an attempt. `started` is the time passed to begin(). Returns the log likelihood ratio that the
     // other proxies should receive immediately, or nothing if it can wait for takeUpdates().
     std::optional<double> end(
-        const TargetName &id, const HostRoute &route, Instant started, const AttemptEnd &end, Instant now);
+        const TargetName &id, const HostRoute &route, Instant started, const AttemptOutcome &end, Instant now);
 
     // Returns when to report next to the other proxies that an attempt has no response yet, or nothing.
-    std::optional<Instant> nextSilence(const TargetName &id, Instant started) const;
+    std::optional<Instant> nextNoResponseReport(const TargetName &id, Instant started) const;
 
     // Updates the fault probability with the evidence that an attempt has no response by `now`. Returns the part of it
     // that the other proxies haven't received, as end() does.
-    std::optional<double> takeSilence(const TargetName &id, Instant started, Instant now);
+    std::optional<double> takeNoResponseEvidence(const TargetName &id, Instant started, Instant now);
 
     // Applies evidence from another proxy, which observed that an attempt at a target began, had no response yet or
     // ended. `logRatio` is what end() or takeNoResponseEvidence() returned there. `usedAt` is when that proxy last sent
     // the target a request.
-    void noteRemote(const TargetName &id, AttemptResult result, double logRatio, Instant usedAt, Instant now);
+    void addRemoteEvidence(const TargetName &id, AttemptResult result, double logRatio, Instant usedAt, Instant now);
 
     // An update about a target for the other proxies.
-    struct News {
+    struct Update {
         TargetName id;
-        bool answered = false; // true if it responded with success; otherwise it was only sent a request
+        bool responded = false; // true if it responded with success; otherwise it was only sent a request
         Instant usedAt {}; // when any proxy last sent it a request
     };
 
     // Returns the targets that have responded or were sent a request since the last call.
-    std::vector<News> takeNews();
+    std::vector<Update> takeUpdates();
 
     // Marks a target as removed, because another target id responds at its address.
-    void noteGone(const TargetName &id);
+    void markRemoved(const TargetName &id);
 
     // Returns the latency that `share` (0 to 1) of the route's recent successes didn't exceed, or nothing while there
     // are too few of them.
@@ -171,26 +171,26 @@
 
 private:
     // An attempt that has not ended.
-    struct Pending {
+    struct PendingAttempt {
         Instant started;
         const RouteStatistics *statistics = nullptr; // of its route
         Duration assumedMean {}; // used while there are too few responses
         double slowness = 1; // expected time at this target as a multiple of the route's mean
         std::size_t step = 0; // number of no-response reports sent to the other proxies
-        double learnt = 0; // log ratio from the missing response that the estimate already includes
+        double applied = 0; // log ratio from the missing response that the estimate already includes
     };
     struct Entry {
         ListedTarget listed;
-        bool gone = false;
+        bool removed = false;
         double offset = 0; // as a share of a request's time, drawn by this process alone
-        std::vector<Pending> pending;
-        SicknessBelief belief;
+        std::vector<PendingAttempt> pending;
+        FaultEstimate faultProbability;
         bool suspected = false; // as last passed to the hook
-        bool answered = false; // since takeUpdates()
+        bool responded = false; // since takeUpdates()
         bool used = false; // since takeUpdates()
         double slowness = 1; // latency relative to the route's mean
         Instant slownessAt {};
-        Instant lastAnswer {}; // to any proxy, as far as known
+        Instant lastResponse {}; // to any proxy, as far as known
         double othersLoad = 0; // requests of other callers, as reported
         Instant reportedAt {};
         Instant lastUsed {}; // by any proxy, as far as known
@@ -198,38 +198,41 @@
     // Targets that no process has used for a while, among those that a request may use.
     struct Unused {
         std::vector<const Entry *> targets;
-        double wellUnused = 0; // expected number of healthy targets among them
-        double well = 0; // expected number of healthy targets among all eligible ones, used or not
+        double healthyUnused = 0; // expected number of healthy targets among them
+        double healthy = 0; // expected number of healthy targets among all eligible ones, used or not
         std::size_t all = 0; // number of eligible targets
     };
     double riskOf(const Entry &entry, Instant now) const;
-    static double survivalOf(const Pending &pending, Instant now);
-    static double silenceOf(const Pending &pending, Instant now);
-    double beliefOf(const Entry &entry, Instant now) const;
+    static double survivalOf(const PendingAttempt &pending, Instant now);
+    static double noResponseEvidence(const PendingAttempt &pending, Instant now);
+    double faultProbabilityOf(const Entry &entry, Instant now) const;
     double loadOf(const Entry &entry, Instant now) const;
     double slownessOf(const Entry &entry, Instant now) const;
     double expectedSeconds(const Entry &entry, double meanSeconds, Instant now) const;
-    double costOf(const Entry &entry, const ChooseTarget &wanted, const RouteStatistics &statistics, Instant now) const;
-    Unused unusedFor(const ChooseTarget &wanted, Instant now) const;
-    bool isDoubtful(const Entry &entry, Instant now) const;
-    static void preferConnected(std::vector<const Entry *> &targets, const ChooseTarget &wanted);
-    const Entry *chooseUnused(const ChooseTarget &wanted, Instant now);
-    const Entry *fromLeastRisky(std::vector<const Entry *> targets, Instant now);
-    bool mayTake(const Entry &entry, const ChooseTarget &wanted) const;
+    double costOf(const Entry &entry,
+                  const TargetSelection &selection,
+                  const RouteStatistics &statistics,
+                  Instant now) const;
+    Unused unusedFor(const TargetSelection &selection, Instant now) const;
+    bool hasRaisedRisk(const Entry &entry, Instant now) const;
+    static void preferConnected(std::vector<const Entry *> &targets, const TargetSelection &selection);
+    const Entry *chooseUnused(const TargetSelection &selection, Instant now);
+    const Entry *pickLeastRisky(std::vector<const Entry *> targets, Instant now);
+    bool isEligible(const Entry &entry, const TargetSelection &selection) const;
     ChosenTarget chosen(const Entry &entry, const HostRoute &route, Instant now) const;
     const RouteStatistics &statisticsOf(const HostRoute &route) const;
-    Pending *pendingOf(const TargetName &id, Instant started);
-    const Pending *pendingOf(const TargetName &id, Instant started) const;
-    void learn(Entry &entry, AttemptResult result, double logRatio, Instant now);
-    void tellSuspicion(Entry &entry, AttemptResult evidence);
-    void noteSuccess(Entry &entry, RouteStatistics &statistics, const AttemptEnd &end, Instant now);
+    PendingAttempt *pendingOf(const TargetName &id, Instant started);
+    const PendingAttempt *pendingOf(const TargetName &id, Instant started) const;
+    void updateEstimate(Entry &entry, AttemptResult result, double logRatio, Instant now);
+    void reportSuspicion(Entry &entry, AttemptResult evidence);
+    void recordSuccess(Entry &entry, RouteStatistics &statistics, const AttemptOutcome &end, Instant now);
 
     BalancerSettings m_settings;
     std::mt19937_64 m_random;
     SuspicionHook m_suspicionChanged;
     RestartHook m_restarted;
     bool m_listFresh = false;
-    SicknessModel m_model;
+    FaultModel m_model;
     std::unordered_map<TargetName, Entry> m_targets;
     std::unordered_map<std::string, RouteStatistics> m_routes;
 };
--- a/include/mulberryplank/policy/targetchooser.h
+++ b/include/mulberryplank/policy/targetchooser.h
@@ -33,7 +33,7 @@
 };
 
 // Returns true if choose() may select the target for any kind of request that doesn't exclude it.
-bool takesWork(const TargetView &target);
+bool acceptsRequests(const TargetView &target);
 
 // Returns the target for the request, or nothing if no target can accept it now. Draws two candidates at random by
 // weight and selects the one with the shorter expected time. Ejected and draining targets are never selected. A target
--- a/include/mulberryplank/policy/targethealth.h
+++ b/include/mulberryplank/policy/targethealth.h
@@ -135,7 +135,7 @@
     // and how many have waited at least half as long (including the oldest). Must be called with each tick for targets
     // with requests in progress, so that a target that accepts requests and hangs is detected before any request times
     // out.
-    void outstanding(TargetIndex target, Duration oldestAge, Instant now, std::uint32_t waiting = 1);
+    void observeOutstanding(TargetIndex target, Duration oldestAge, Instant now, std::uint32_t waiting = 1);
 
     // Updates phases, weights and claims. Must be called about 10 times a second.
     void tick(Instant now);
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -114,7 +114,7 @@
         if (found != m_targetsByKey.end()) {
             const KnownTarget &known = found->second;
             const Instant usedAt = now - Millis(report.ageMillis);
-            known.service->balancer.noteRemote(known.name, report.result, report.logRatio, usedAt, now);
+            known.service->balancer.addRemoteEvidence(known.name, report.result, report.logRatio, usedAt, now);
         }
     }
 }
@@ -203,9 +203,9 @@
     const Instant now = Clock::now();
     std::vector<AttemptReport> reports;
     for (auto &[name, known] : m_services) {
-        for (const TargetBalancer::News &news : known->balancer.takeNews()) {
-            const AttemptResult result = news.answered ? AttemptResult::Success : AttemptResult::Cancelled;
-            const double logRatio = SicknessModel::evidenceOf(result).logRatio();
+        for (const TargetBalancer::Update &news : known->balancer.takeUpdates()) {
+            const AttemptResult result = news.responded ? AttemptResult::Success : AttemptResult::Cancelled;
+            const double logRatio = FaultModel::evidenceOf(result).logRatio();
             reports.push_back(attemptReport(news.id, result, logRatio, now - news.usedAt));
         }
     }
--- a/src/app/gatewayprocess.cpp
+++ b/src/app/gatewayprocess.cpp
@@ -179,7 +179,7 @@
                      { { "service", name.value() },
                        { "target", change.id.value() },
                        { "failure_domain", change.failureDomain.value() },
-                       { "belief", change.belief },
+                       { "belief", change.faultProbability },
                        { "evidence", std::string(toString(change.evidence)) } });
         };
         const auto dropConnections = [this](const Endpoint &endpoint) {
--- a/src/policy/detectortest.cpp
+++ b/src/policy/detectortest.cpp
@@ -47,7 +47,7 @@
 TEST_GROUP(Detector) {};
 
 // Guards against ejections of healthy targets whose latencies vary widely.
-TEST(Detector, heavyTailsRaiseNoSuspicion)
+TEST(Detector, doesNotSuspectHeavyTailedLatencies)
 {
     CHECK_TRUE(rc::check("tails", [](std::uint32_t seed) {
         std::mt19937 random(seed);
@@ -61,7 +61,7 @@
     }));
 }
 
-TEST(Detector, findsASlowTargetWhateverTheUnitOfLatency)
+TEST(Detector, suspectsASlowTargetAtAnyLatencyScale)
 {
     CHECK_TRUE(rc::check("slow", [](std::uint32_t seed) {
         std::mt19937 random(seed);
@@ -75,7 +75,7 @@
     }));
 }
 
-TEST(Detector, shedsSayNothing)
+TEST(Detector, ignoresSheds)
 {
     Detector detector = makeDetector();
     for (int step = 0; step < 100; ++step) {
@@ -85,7 +85,7 @@
     DOUBLES_EQUAL(0, detector.recentAttempts(0), 0);
 }
 
-TEST(Detector, errorsOfAllTargetsAreNoSignAgainstOne)
+TEST(Detector, doesNotSuspectATargetForErrorsOfAllTargets)
 {
     Detector detector = makeDetector();
     std::mt19937 random(4);
--- /dev/null
+++ b/src/policy/faultmodel.cpp
@@ -0,0 +1,101 @@
+#include "mulberryplank/policy/faultmodel.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace mulberryplank
+{
+
+namespace internal
+{
+
+namespace
+{
+
+// Failure shares by target health: a faulty target fails this share of its attempts, a healthy one these shares. Faults
+// (resets, hangs, wrong bodies) are rare at a healthy target, error responses less so, and rejections mostly indicate
+// load.
+constexpr double FaultyFailures = 0.7;
+constexpr double HealthyFaults = 0.005;
+constexpr double HealthyErrors = 0.02;
+constexpr double HealthySheds = 0.3;
+// Time constant with which the estimate returns to the mean: faults that end by themselves last some seconds.
+constexpr double DriftSeconds = 6;
+// The initial share of faulty targets, its bounds, and how much each piece of evidence moves it.
+constexpr double InitialFaultyShare = 0.08;
+constexpr double MinFaultyShare = 0.02;
+constexpr double MaxFaultyShare = 0.4;
+constexpr double FaultyShareWeight = 0.02;
+constexpr double MaxProbability = 0.98;
+constexpr double MinProbability = 0.002;
+
+} // namespace
+
+} // namespace internal
+
+double FaultEvidence::logRatio() const
+{
+    return std::log(ifFaulty / ifHealthy);
+}
+
+FaultModel::FaultModel()
+    : m_faultyShare(internal::InitialFaultyShare)
+{
+}
+
+double FaultModel::faultProbabilityOf(const FaultEstimate &probability, Instant now) const
+{
+    if (probability.value < 0) {
+        return m_faultyShare;
+    }
+    const double left = std::exp(-std::max(toSeconds(now - probability.at), 0.0) / internal::DriftSeconds);
+    return m_faultyShare + (probability.value - m_faultyShare) * left;
+}
+
+double FaultModel::failureRisk(double probability)
+{
+    return probability * internal::FaultyFailures;
+}
+
+FaultEvidence FaultModel::evidenceOf(AttemptResult result)
+{
+    if (isFault(result)) {
+        return { internal::HealthyFaults, internal::FaultyFailures };
+    }
+    switch (result) {
+    case AttemptResult::ServerError:
+        return { internal::HealthyErrors, internal::FaultyFailures };
+    case AttemptResult::Shed:
+        return { internal::HealthySheds, internal::FaultyFailures };
+    case AttemptResult::Success:
+        return { 1 - internal::HealthyErrors, 1 - internal::FaultyFailures };
+    default:
+        return {};
+    }
+}
+
+FaultEvidence FaultModel::evidenceOfNoResponse(double survival)
+{
+    return { survival, internal::FaultyFailures + (1 - internal::FaultyFailures) * survival };
+}
+
+double FaultModel::probabilityAfter(const FaultEstimate &probability, double logRatio, Instant now) const
+{
+    const double before = faultProbabilityOf(probability, now);
+    const double faultyOdds = before * std::exp(logRatio);
+    return std::clamp(faultyOdds / (faultyOdds + 1 - before), internal::MinProbability, internal::MaxProbability);
+}
+
+void FaultModel::updateEstimate(FaultEstimate &probability, double logRatio, Instant now) const
+{
+    probability.value = probabilityAfter(probability, logRatio, now);
+    probability.at = now;
+}
+
+void FaultModel::updateFaultyShare(double meanProbability)
+{
+    m_faultyShare += internal::FaultyShareWeight * (meanProbability - m_faultyShare);
+    m_faultyShare = std::clamp(m_faultyShare, internal::MinFaultyShare, internal::MaxFaultyShare);
+}
+
+} // namespace mulberryplank
--- /dev/null
+++ b/src/policy/faultmodeltest.cpp
@@ -0,0 +1,79 @@
+#include "mulberryplank/policy/faultmodel.h"
+
+#include <CppUTest/TestHarness.h>
+#include <rapidcheck.h>
+
+using namespace mulberryplank;
+
+TEST_GROUP(FaultModel)
+{
+    FaultModel model;
+    const Instant now = Instant {} + Seconds(100);
+
+    static void updateEstimate(const FaultModel &by, FaultEstimate &probability, AttemptResult result, Instant at)
+    {
+        by.updateEstimate(probability, FaultModel::evidenceOf(result).logRatio(), at);
+    }
+};
+
+TEST(FaultModel, AFaultIsStrongerEvidenceThanAShed)
+{
+    FaultEstimate fault;
+    FaultEstimate shed;
+    updateEstimate(model, fault, AttemptResult::Reset, now);
+    updateEstimate(model, shed, AttemptResult::Shed, now);
+    CHECK(model.faultProbabilityOf(fault, now) > 0.8);
+    CHECK(model.faultProbabilityOf(shed, now) < 0.3);
+}
+
+TEST(FaultModel, ACancelledAttemptIsNoEvidence)
+{
+    DOUBLES_EQUAL(0, FaultModel::evidenceOf(AttemptResult::Cancelled).logRatio(), 1e-12);
+}
+
+TEST(FaultModel, OldEvidenceDecaysToTheServicesShare)
+{
+    FaultEstimate probability;
+    updateEstimate(model, probability, AttemptResult::Reset, now);
+    const double unknown = model.faultProbabilityOf(FaultEstimate {}, now);
+    DOUBLES_EQUAL(unknown, model.faultProbabilityOf(probability, now + Seconds(60)), 0.001);
+}
+
+TEST(FaultModel, NoResponseIsStrongerEvidenceTheFewerHealthyResponsesTakeAsLong)
+{
+    FaultEstimate usual;
+    FaultEstimate rare;
+    model.updateEstimate(usual, FaultModel::evidenceOfNoResponse(0.5).logRatio(), now);
+    model.updateEstimate(rare, FaultModel::evidenceOfNoResponse(0.02).logRatio(), now);
+    CHECK(model.faultProbabilityOf(usual, now) < 0.15);
+    CHECK(model.faultProbabilityOf(rare, now) > 0.7);
+}
+
+TEST(FaultModel, AResponseReplacesTheEvidenceOfNoResponse)
+{
+    FaultEstimate probability;
+    FaultEstimate responded;
+    const double noResponse = FaultModel::evidenceOfNoResponse(0.05).logRatio();
+    const double response = FaultModel::evidenceOf(AttemptResult::Success).logRatio();
+    model.updateEstimate(probability, noResponse, now);
+    model.updateEstimate(probability, response - noResponse, now);
+    model.updateEstimate(responded, response, now);
+    DOUBLES_EQUAL(model.faultProbabilityOf(responded, now), model.faultProbabilityOf(probability, now), 1e-9);
+}
+
+// The risk is weighed against times and compared between targets, so it must always be a probability.
+TEST(FaultModel, TheRiskStaysAProbability)
+{
+    CHECK(rc::check([this] {
+        FaultModel any;
+        FaultEstimate probability;
+        Instant time = now;
+        for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10'000))) {
+            time += Millis(step);
+            updateEstimate(any, probability, static_cast<AttemptResult>(step % 10), time);
+            any.updateFaultyShare(any.faultProbabilityOf(probability, time));
+            const double risk = FaultModel::failureRisk(any.faultProbabilityOf(probability, time));
+            RC_ASSERT(risk > 0 && risk < 1);
+        }
+    }));
+}
