--- a/include/mulberryplank/policy/detector.h
+++ b/include/mulberryplank/policy/detector.h
@@ -137,7 +137,7 @@
         ErrorTestSteps someErrorsSteps;
         ErrorTestSteps wrongResponseSteps;
         Counts counts;
-        double decayedAttempts = 0; // decays within a second
+        double decayedAttempts = 0; // count that decays within a second
         double waiting = 0; // log likelihood ratio of the requests that are still waiting
         double meanLatency = 0; // seconds
         Instant lastEvidence {};
--- a/include/mulberryplank/policy/faultmodel.h
+++ b/include/mulberryplank/policy/faultmodel.h
@@ -31,10 +31,10 @@
     FaultModel();
 
     // Returns the probability that a target with that estimate is faulty at `now`.
-    double faultProbabilityOf(const FaultEstimate &probability, Instant now) const;
+    double faultProbabilityOf(const FaultEstimate &estimate, Instant now) const;
 
-    // Returns the probability that an attempt fails at a target that is faulty with the given probability.
-    static double failureRisk(double probability);
+    // Returns the probability that an attempt fails at a target that is faulty with the probability `estimate`.
+    static double failureRisk(double estimate);
 
     // Returns the evidence in an attempt's result. A cancelled attempt is no evidence.
     static FaultEvidence evidenceOf(AttemptResult result);
@@ -44,10 +44,10 @@
     static FaultEvidence evidenceOfNoResponse(double survival);
 
     // Updates the estimate with evidence, given as a sum of log likelihood ratios.
-    void updateEstimate(FaultEstimate &probability, double logRatio, Instant now) const;
+    void updateEstimate(FaultEstimate &estimate, double logRatio, Instant now) const;
 
     // Returns the fault probability after that evidence, without changing the estimate.
-    double probabilityAfter(const FaultEstimate &probability, double logRatio, Instant now) const;
+    double probabilityAfter(const FaultEstimate &estimate, double logRatio, Instant now) const;
 
     // Moves the share of faulty targets slowly towards the mean fault probability of the service's targets.
     void updateFaultyShare(double meanProbability);
--- a/include/mulberryplank/policy/floor.h
+++ b/include/mulberryplank/policy/floor.h
@@ -22,7 +22,6 @@
     Duration retention = Millis { 15'000 }; // how long a peer still counts after setPeers() removed it
 };
 
-//
 // Limits the combined ejections of several proxies to one floor. Needs no coordinator and tolerates any loss, delay or
 // one-way cut of their reports.
 //
@@ -136,7 +135,7 @@
     std::map<TargetId, Claim> m_claims;
     std::vector<TargetId> m_unavailable;
     std::uint32_t m_sequence = 0;
-    bool m_hasUnconfirmedPeerClaims = false; // a peer's claim that no report of this process has confirmed
+    bool m_hasUnconfirmedPeerClaims = false; // whether a peer's claim awaits confirmation
     std::deque<SentReport> m_sent; // within the lease
 };
 
--- a/include/mulberryplank/policy/targetbalancer.h
+++ b/include/mulberryplank/policy/targetbalancer.h
@@ -95,7 +95,6 @@
     std::uint32_t draining = 0;
 };
 
-//
 // Selects targets of one service by expected cost. The cost consists of the time until the response, given the target's
 // speed and load; the risk that the attempt fails, weighted by the cost of a failure for this kind of request; and the
 // bill for bytes that cross failure domains.
--- a/src/policy/faultmodel.cpp
+++ b/src/policy/faultmodel.cpp
@@ -43,18 +43,18 @@
 {
 }
 
-double FaultModel::faultProbabilityOf(const FaultEstimate &probability, Instant now) const
+double FaultModel::faultProbabilityOf(const FaultEstimate &estimate, Instant now) const
 {
-    if (probability.value < 0) {
+    if (estimate.value < 0) {
         return m_faultyShare;
     }
-    const double left = std::exp(-std::max(toSeconds(now - probability.at), 0.0) / internal::DriftSeconds);
-    return m_faultyShare + (probability.value - m_faultyShare) * left;
+    const double left = std::exp(-std::max(toSeconds(now - estimate.at), 0.0) / internal::DriftSeconds);
+    return m_faultyShare + (estimate.value - m_faultyShare) * left;
 }
 
-double FaultModel::failureRisk(double probability)
+double FaultModel::failureRisk(double estimate)
 {
-    return probability * internal::FaultyFailures;
+    return estimate * internal::FaultyFailures;
 }
 
 FaultEvidence FaultModel::evidenceOf(AttemptResult result)
@@ -79,17 +79,17 @@
     return { survival, internal::FaultyFailures + (1 - internal::FaultyFailures) * survival };
 }
 
-double FaultModel::probabilityAfter(const FaultEstimate &probability, double logRatio, Instant now) const
+double FaultModel::probabilityAfter(const FaultEstimate &estimate, double logRatio, Instant now) const
 {
-    const double before = faultProbabilityOf(probability, now);
+    const double before = faultProbabilityOf(estimate, now);
     const double faultyOdds = before * std::exp(logRatio);
     return std::clamp(faultyOdds / (faultyOdds + 1 - before), internal::MinProbability, internal::MaxProbability);
 }
 
-void FaultModel::updateEstimate(FaultEstimate &probability, double logRatio, Instant now) const
+void FaultModel::updateEstimate(FaultEstimate &estimate, double logRatio, Instant now) const
 {
-    probability.value = probabilityAfter(probability, logRatio, now);
-    probability.at = now;
+    estimate.value = probabilityAfter(estimate, logRatio, now);
+    estimate.at = now;
 }
 
 void FaultModel::updateFaultyShare(double meanProbability)
--- a/src/policy/faultmodeltest.cpp
+++ b/src/policy/faultmodeltest.cpp
@@ -10,9 +10,9 @@
     FaultModel model;
     const Instant now = Instant {} + Seconds(100);
 
-    static void updateEstimate(const FaultModel &by, FaultEstimate &probability, AttemptResult result, Instant at)
+    static void updateEstimate(const FaultModel &by, FaultEstimate &estimate, AttemptResult result, Instant at)
     {
-        by.updateEstimate(probability, FaultModel::evidenceOf(result).logRatio(), at);
+        by.updateEstimate(estimate, FaultModel::evidenceOf(result).logRatio(), at);
     }
 };
 
@@ -33,10 +33,10 @@
 
 TEST(FaultModel, OldEvidenceDecaysToTheServicesShare)
 {
-    FaultEstimate probability;
-    updateEstimate(model, probability, AttemptResult::Reset, now);
+    FaultEstimate estimate;
+    updateEstimate(model, estimate, AttemptResult::Reset, now);
     const double unknown = model.faultProbabilityOf(FaultEstimate {}, now);
-    DOUBLES_EQUAL(unknown, model.faultProbabilityOf(probability, now + Seconds(60)), 0.001);
+    DOUBLES_EQUAL(unknown, model.faultProbabilityOf(estimate, now + Seconds(60)), 0.001);
 }
 
 TEST(FaultModel, NoResponseIsStrongerEvidenceTheFewerHealthyResponsesTakeAsLong)
@@ -51,14 +51,14 @@
 
 TEST(FaultModel, AResponseReplacesTheEvidenceOfNoResponse)
 {
-    FaultEstimate probability;
+    FaultEstimate estimate;
     FaultEstimate responded;
     const double noResponse = FaultModel::evidenceOfNoResponse(0.05).logRatio();
     const double response = FaultModel::evidenceOf(AttemptResult::Success).logRatio();
-    model.updateEstimate(probability, noResponse, now);
-    model.updateEstimate(probability, response - noResponse, now);
+    model.updateEstimate(estimate, noResponse, now);
+    model.updateEstimate(estimate, response - noResponse, now);
     model.updateEstimate(responded, response, now);
-    DOUBLES_EQUAL(model.faultProbabilityOf(responded, now), model.faultProbabilityOf(probability, now), 1e-9);
+    DOUBLES_EQUAL(model.faultProbabilityOf(responded, now), model.faultProbabilityOf(estimate, now), 1e-9);
 }
 
 // The risk is weighed against times and compared between targets, so it must always be a probability.
@@ -66,13 +66,13 @@
 {
     CHECK(rc::check([this] {
         FaultModel any;
-        FaultEstimate probability;
+        FaultEstimate estimate;
         Instant time = now;
         for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10'000))) {
             time += Millis(step);
-            updateEstimate(any, probability, static_cast<AttemptResult>(step % 10), time);
-            any.updateFaultyShare(any.faultProbabilityOf(probability, time));
-            const double risk = FaultModel::failureRisk(any.faultProbabilityOf(probability, time));
+            updateEstimate(any, estimate, static_cast<AttemptResult>(step % 10), time);
+            any.updateFaultyShare(any.faultProbabilityOf(estimate, time));
+            const double risk = FaultModel::failureRisk(any.faultProbabilityOf(estimate, time));
             RC_ASSERT(risk > 0 && risk < 1);
         }
     }));
--- a/src/policy/floor.cpp
+++ b/src/policy/floor.cpp
@@ -183,13 +183,13 @@
 
 bool EjectionClaims::hasLease(Instant now) const
 {
-    std::size_t responsivePeers = 1;
+    std::size_t responsiveProxies = 1;
     for (const auto &[key, peer] : m_peers) {
         if (!isUnresponsive(peer, now)) {
             if (!isFresh(peer, now)) {
                 return false;
             }
-            ++responsivePeers;
+            ++responsiveProxies;
             continue;
         }
         // The peer is unresponsive for this process only. It may still receive reports from other proxies and eject
@@ -202,7 +202,7 @@
             return false;
         }
     }
-    return 2 * responsivePeers > m_peers.size() + 1;
+    return 2 * responsiveProxies > m_peers.size() + 1;
 }
 
 bool EjectionClaims::isUnresponsive(const Peer &peer, Instant now) const
--- a/src/policy/targetbalancertest.cpp
+++ b/src/policy/targetbalancertest.cpp
@@ -356,7 +356,7 @@
 }
 
 // Guards against losing non-idempotent requests to targets that have just failed one, while nearly all targets are
-// healthy. These were a third of all lost requests.
+// healthy. Such targets can cause a third of the lost requests.
 TEST(TargetBalancer, recentlyFailedTargetsAreAvoidedWhenMostAreHealthy)
 {
     constexpr std::size_t Targets = 34;
--- a/src/policy/targethealth.cpp
+++ b/src/policy/targethealth.cpp
@@ -139,7 +139,7 @@
             target->faulty = false;
             target->decisive = 0;
         } else {
-            d->judgeTarget(*target, now);
+            d->assessTarget(*target, now);
         }
         d->updateClaim(*target, now);
     }
--- a/src/policy/targethealthdecisions.cpp
+++ b/src/policy/targethealthdecisions.cpp
@@ -67,7 +67,7 @@
     return std::min(view.suspicion, (view.suspicion - view.largest) / (share * fewProxies));
 }
 
-void ServiceHealth::Private::judgeTarget(Target &target, Instant now)
+void ServiceHealth::Private::assessTarget(Target &target, Instant now)
 {
     target.decisive = decisiveSuspicion(target.joint);
     if (target.lifecycle.phase() == TargetPhase::Draining) {
--- a/src/policy/targethealthprivate.h
+++ b/src/policy/targethealthprivate.h
@@ -115,7 +115,7 @@
     std::size_t floor() const;
     void gatherEvidence(Instant now);
     double decisiveSuspicion(const JointView &view) const;
-    void judgeTarget(Target &target, Instant now);
+    void assessTarget(Target &target, Instant now);
     bool mayStartTrial(const Target &target, Instant now) const;
     bool checkAllSlow(Instant now);
     void limitReducedWeights();
