--- a/src/policy/detector.cpp
+++ b/src/policy/detector.cpp
@@ -12,17 +12,17 @@
 constexpr double FirstBucketSeconds = 100e-6;
 constexpr double BucketsPerDoubling = 4;
 
-// The test for slowness: how strongly ranks lean upwards in a sick target, and the most that one fast answer takes
-// away.
+// Parameters of the test for slowness: how strongly the ranks of a faulty target lean upwards, and the lower bound of
+// the step that one fast response subtracts.
 constexpr double SlowExponent = 3;
 constexpr double VerySlowExponent = 16;
 constexpr double MinSlowStep = -3;
-// Targets differ a little while healthy; this much is no sign of sickness.
+// Factor by which healthy targets may differ without being suspected.
 constexpr double LatencyTolerance = 1.25;
-// Fewer comparable latencies than this say nothing.
+// Fewer comparable latencies than this are no evidence.
 constexpr float MinReferenceSamples = 20;
 
-// Shares of errors that the tests tell apart. The healthy share is raised to what the other targets show.
+// Shares of errors that the tests distinguish. The healthy share is raised to the level of the other targets.
 constexpr double HealthyErrorShare = 0.0015;
 constexpr double ManyErrorsShare = 0.25;
 constexpr double SomeErrorsShare = 0.05;
@@ -33,18 +33,18 @@
 constexpr double MinFaultyToHealthyRatio = 3;
 constexpr double OthersShareTolerance = 2;
 
-// How requests beyond the oldest known latency count: as if the latencies' tail fell with this power.
+// Requests older than the longest known latency are weighed as if the tail of the latencies decreased with this power.
 constexpr double TailExponent = 2;
 constexpr double MaxWaitingEvidence = 12;
 
 constexpr Duration DecayInterval = Millis { 1'000 };
 constexpr float DecayFactor = 0.85F;
 constexpr float LowTrafficDecayFactor = 0.97F;
-// How long requests may take at the very most is learnt over minutes: it needs thousands of them.
+// The extreme tail of the latencies is learned over minutes, since it needs thousands of requests.
 constexpr float TailDecayFactor = 0.99F;
 constexpr float LowTrafficSamples = 200;
 constexpr float RebaselineFactor = 0.02F;
-constexpr double RecentAttemptsDecay = 0.9; // each tick
+constexpr double RecentAttemptsDecay = 0.9; // per tick
 constexpr double MeanLatencyGain = 0.1;
 constexpr double MeanLatencyReversion = 0.05;
 
@@ -69,7 +69,7 @@
     return attempts < 1 ? 0 : std::clamp<double>((all - own) / attempts, 0, 1);
 }
 
-// One test for a raised share of errors, against what the other targets show.
+// A test for a raised share of errors, compared with the other targets.
 struct ErrorTest {
     double healthyShare;
     double faultyShare;
@@ -119,7 +119,7 @@
     if (m_total <= 0) {
         return;
     }
-    // The total is added up again, since rounding errors would otherwise part it from the weights.
+    // Sums the total again, because rounding errors would otherwise make it differ from the weights.
     m_total = 0;
     for (float &weight : m_weights) {
         weight *= factor;
@@ -239,7 +239,7 @@
     const double rank = rankOf(target, route, latency);
     const auto add = [&](SequentialTest &test, double exponent) {
         const double step = latencyTestStep(rank, exponent);
-        // A cancelled request would have taken longer than the time it got: it may raise suspicion, never lower it.
+        // A cancelled request would have taken longer than the time it had: it may raise suspicion, but never lower it.
         if (success || step > 0) {
             test.add(step, m_limit);
         }
@@ -262,7 +262,7 @@
 void Detector::observeOutstanding(TargetIndex index, Duration oldestAge, std::uint32_t waiting, Instant now)
 {
     Target &target = *m_targets[index];
-    // One long download among quick answers is no hang: only the time without any answer counts.
+    // A single long download among quick responses is no hang: only the time without any response counts.
     const Duration timeWithoutResponse = std::min(oldestAge, now - target.lastResponse);
     if (waiting == 0 || timeWithoutResponse <= Duration::zero()) {
         target.waiting = 0;
@@ -351,8 +351,8 @@
     m_allRoutes.decay(internal::RebaselineFactor);
 }
 
-// Returns the share of the other targets' recent latencies on this route below `latency`; a half when there are too
-// few, and for a latency that no test should learn from.
+// Returns the share of the other targets' recent latencies on this route that lie below `latency`. Returns one half if
+// there are too few of them.
 double Detector::rankOf(const Target &target, std::size_t route, Duration latency) const
 {
     constexpr double Typical = 0.5;
@@ -366,7 +366,8 @@
     return std::clamp<double>(below / others, 0, 1);
 }
 
-// Returns the share of the service's requests that take longer than `age`, carried on beyond the longest one known.
+// Returns the share of the service's requests that take longer than `age`, extrapolated beyond the longest known
+// latency.
 double Detector::survivalShare(Duration age) const
 {
     const float total = m_allRoutes.total();
@@ -397,8 +398,8 @@
 
 void Detector::decay()
 {
-    // Half of what is known is newer than about four seconds, so that a wave of load moves the reference along with
-    // the targets. A service with little traffic keeps its past longer: too few latencies make ranks coarse.
+    // Half of the weight is newer than about four seconds, so that a wave of load moves the reference along with the
+    // targets. A service with little traffic keeps old latencies longer, since too few latencies make ranks coarse.
     const auto factorFor = [](float total) {
         return total > internal::LowTrafficSamples ? internal::DecayFactor : internal::LowTrafficDecayFactor;
     };
@@ -425,7 +426,8 @@
         m_counts.attempts += counts.attempts;
         m_counts.errors += counts.errors;
         m_counts.wrongResponses += counts.wrongResponses;
-        // Without new answers the target is thought of as an average one again, so that it gets the chance to show.
+        // Without new responses the estimate of a target returns to the average, so that it is selected again and can
+        // be measured.
         target->meanLatency += internal::MeanLatencyReversion * (m_meanLatency - target->meanLatency);
     }
 }
--- a/src/policy/faultmodeltest.cpp
+++ b/src/policy/faultmodeltest.cpp
@@ -61,7 +61,7 @@
     DOUBLES_EQUAL(model.faultProbabilityOf(responded, now), model.faultProbabilityOf(estimate, now), 1e-9);
 }
 
-// The risk is weighed against times and compared between targets, so it has to stay a probability whatever happens.
+// The risk is weighed against times and compared between targets, so it must always be a probability.
 TEST(FaultModel, TheRiskStaysAProbability)
 {
     CHECK(rc::check([this] {
--- a/src/policy/targethealthdecisions.cpp
+++ b/src/policy/targethealthdecisions.cpp
@@ -31,8 +31,8 @@
         }
         Target &target = *targets[index];
         if (target.resetPending && now - target.ejectedAt > internal::EvidenceLifetime) {
-            // By now every proxy has had the time to eject on this evidence. Kept any longer it would eject the target
-            // again as soon as it came back.
+            // Every proxy has had the time to eject on this evidence. If it were kept longer, it would eject the target
+            // again as soon as it returned.
             detector.reset(index);
             target.resetPending = false;
         }
@@ -49,8 +49,8 @@
     }
 }
 
-// Returns what counts for ejection of the evidence from all proxies: none unless enough of them support it, and no more
-// than the others' part allows when the proxy that suspects most is left out.
+// Returns the part of the evidence from all proxies that counts for ejection. It is 0 unless enough proxies support it,
+// and it is limited by the evidence of the others without the proxy that suspects the target most.
 double ServiceHealth::Private::decisiveSuspicion(const JointView &view) const
 {
     if (peers.empty()) {
@@ -76,7 +76,8 @@
     }
     const bool relapse = target.lifecycle.phase() == TargetPhase::SlowStart && target.lifecycle.needsClaim();
     const double needed = threshold() * (relapse ? internal::RelapseThreshold : 1);
-    // Most others have ejected it and send no more evidence: what is missing to the threshold locallyFaulty won't come.
+    // The other proxies have ejected the target by majority and send no more evidence, so the rest of the threshold
+    // can't be reached by this proxy.
     const bool followsOthers = 2 * claims.countOtherClaims(target.id, now) > peers.size()
                                && target.joint.suspicion >= internal::FollowThreshold * threshold();
     const bool jointlyFaulty = target.decisive >= needed || followsOthers;
@@ -95,9 +96,9 @@
     target.faulty = jointlyFaulty || path;
 }
 
-// Returns true if this process may be the one to try an ejected target. One proxy tries first, the one that probes it;
-// the others follow when it finds the target well. If all tried at once, a target that is still faulty would hurt as
-// many requests as there are proxies, at each of its trials.
+// Returns true if this process may start the trial of an ejected target. The target's prober tries it first, and the
+// other proxies follow when the prober reports it as healthy. If all proxies tried at the same time, each trial of a
+// target that is still faulty would harm as many requests as there are proxies.
 bool ServiceHealth::Private::mayStartTrial(const Target &target, Instant now) const
 {
     if (target.pathOnly || peers.empty()) {
@@ -111,7 +112,7 @@
            || !claims.claimedBy(key, target.id, now);
 }
 
-// Returns true if the targets look as if the service had changed and not single targets.
+// Returns true if the whole service seems to have changed, rather than single targets.
 bool ServiceHealth::Private::checkAllSlow(Instant now)
 {
     std::vector<double> serving;
@@ -131,7 +132,8 @@
         if (now >= allSlowUntil) {
             emit(Event::AllSlow, TargetName {}, std::to_string(suspicious) + " of " + std::to_string(serving.size()));
         }
-        // The whole service has changed, by load or by something behind it: what was typical a moment ago isn't now.
+        // The whole service has changed, because of load or a dependency: latencies that were typical before no longer
+        // are.
         detector.rebaseline();
         allSlowUntil = now + internal::AllSlowHold;
     }
@@ -139,8 +141,8 @@
     return now < allSlowUntil || serving[rank] >= internal::HoldThreshold * threshold();
 }
 
-// Lowers the weight of as many targets as ejection could take away, the candidates ones, and no more: a service whose
-// targets are all suspected would otherwise lose its capacity to suspicion alone.
+// Allows lowering the weight of the most severely suspected targets, but of no more targets than ejection could remove.
+// Otherwise a service whose targets are all suspected would lose its capacity to suspicion alone.
 void ServiceHealth::Private::limitReducedWeights()
 {
     std::vector<Target *> candidates;
@@ -185,8 +187,8 @@
         return;
     }
     if (now - target.claimedAt > internal::ClaimTimeout) {
-        // Unconfirmed claims count against the floor at every other proxy. One that can't come into effect, because a
-        // peer doesn't hear us, must not keep the others from ejecting.
+        // Unconfirmed claims count against the floor at every other proxy. A claim that can't take effect, because a
+        // peer doesn't receive our reports, must not keep the other proxies from ejecting.
         recordFloorBinding(target, now);
         claims.release(target.id);
     }
@@ -200,7 +202,7 @@
     waiting.retryClaimAt = now + fromSeconds(wait(random));
     if (now - floorEventAt >= internal::FloorEventInterval || floorEventAt == Instant {}) {
         floorEventAt = now;
-        emit(Event::FloorBinds, target.name, "sick, kept in service for the floor of " + std::to_string(floor()));
+        emit(Event::FloorBinds, target.name, "faulty, kept in service for the floor of " + std::to_string(floor()));
     }
 }
 
@@ -239,8 +241,8 @@
     stepAll(now);
 }
 
-// Brings every phase in line with the claims. To be called whenever claims were ticked: a claim that was given up for a
-// worse target no longer counts at the other proxies, so its target must be back in service by then.
+// Updates every phase from the claims. Must be called whenever claims were ticked: a claim withdrawn in favor of a more
+// severe one no longer counts at the other proxies, so its target must be back in service by then.
 void ServiceHealth::Private::stepAll(Instant now)
 {
     for (TargetIndex index = 0; index < targets.size(); ++index) {
