--- a/bench/healthmodel/world.h
+++ b/bench/healthmodel/world.h
@@ -82,7 +82,7 @@
                 proxy.shadows.push_back(makeJudge(kind, judge));
             }
             for (std::size_t target = 0; target < m_targets.size(); ++target) {
-                proxy.limits.emplace_back(mostInFlight(Slots, Proxies));
+                proxy.limits.emplace_back(maxInFlight(Slots, Proxies));
             }
             proxy.waiting.resize(m_targets.size());
             proxy.loads.resize(m_targets.size());
@@ -413,7 +413,7 @@
         const auto inFlight = static_cast<std::uint32_t>(waiting.size());
         waiting.erase(std::find(waiting.begin(), waiting.end(), request.start));
         const Duration latency = m_now - request.start;
-        proxy.limits[request.target].answered(inFlight, latency, Duration {});
+        proxy.limits[request.target].onResponse(inFlight, latency, Duration {});
         const bool lies = m_settings.fault.liesAboutLoad && target.sick;
         proxy.loads[request.target] = { lies ? 0 : target.busy, m_now };
         observe(proxy, { request.target, request.route, request.result, latency });
--- a/include/mulberryplank/net/exchange.h
+++ b/include/mulberryplank/net/exchange.h
@@ -42,7 +42,7 @@
 struct ExchangeEnd {
     StepKind kind = StepKind::AbortCaller; // Finish, Answer or AbortCaller
     Step step; // for Answer
-    std::optional<StoredAnswer> stored; // the whole answer, if asked for and small enough
+    std::optional<StoredResponse> stored; // the whole answer, if asked for and small enough
     Outcome outcome = Outcome::Unknown;
     bool callerGone = false;
 };
@@ -118,7 +118,7 @@
     CallerFraming m_framing = CallerFraming::None;
     std::string m_unwritten; // the answer's header until the first piece of body is there
     std::vector<char> m_buffer;
-    std::optional<StoredAnswer> m_stored;
+    std::optional<StoredResponse> m_stored;
     bool m_callerGone = false;
     bool m_inAttempt = false; // run() is within an attempt and can't begin another
     AttemptPtr m_readsCaller; // the attempt for which the caller's body is being read
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -77,10 +77,10 @@
     m_readsConfiguration = isAmongStrongest(all, m_incarnation, internal::ConfigurationReaders);
     // The budget's fixed part goes to the gateways that have the requests; the others have what theirs earn.
     const Instant now = Clock::now();
-    m_slackShare.follow(m_entries.size(), isEntry(), now);
-    const double slack = m_slackShare.slack(now);
+    m_retryAllowanceShare.update(m_entries.size(), isEntry(), now);
+    const double fixedAllowance = m_retryAllowanceShare.fixedAllowance(now);
     for (auto &[name, known] : m_services) {
-        known->budget.setSlack(slack);
+        known->budget.setFixedAllowance(fixedAllowance);
     }
 }
 
--- a/src/app/gatewayprocess.cpp
+++ b/src/app/gatewayprocess.cpp
@@ -88,7 +88,7 @@
           m_events)
     , m_reports(internal::ReportHold)
     , m_reportsDue(m_worker.context)
-    , m_slackShare({ settings.retrySlack * internal::BudgetGivenOut, settings.retryWindow })
+    , m_retryAllowanceShare({ settings.retrySlack * internal::BudgetGivenOut, settings.retryWindow })
     , m_signals(m_worker.context, SIGTERM, SIGINT, SIGHUP)
 {
     m_signals.add(SIGUSR1);
@@ -173,7 +173,7 @@
         WindowBudgetSettings budget;
         budget.ratio = m_settings.retryRatio * internal::BudgetGivenOut;
         budget.window = m_settings.retryWindow;
-        budget.slack = 0;
+        budget.fixedAllowance = 0;
         const auto tellSuspicion = [this, name](const SuspicionChange &change) {
             m_events(change.suspected ? Event::TargetSuspected : Event::TargetReturned,
                      { { "service", name.value() },
@@ -259,7 +259,7 @@
     m_settings.grace = read->grace;
     m_settings.locateLifetime = read->locateLifetime;
     m_settings.retrySlack = read->retrySlack;
-    m_slackShare.setTotal(m_settings.retrySlack * internal::BudgetGivenOut);
+    m_retryAllowanceShare.setTotal(m_settings.retrySlack * internal::BudgetGivenOut);
     m_settings.entriesPerDomain = read->entriesPerDomain;
     followMembers();
     m_events(Event::SettingsReloaded, { { "detail", m_settings.file } });
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -21,7 +21,7 @@
 #include "mulberryplank/policy/entrychoice.h"
 #include "mulberryplank/policy/newspeer.h"
 #include "mulberryplank/policy/placement.h"
-#include "mulberryplank/policy/slackshare.h"
+#include "mulberryplank/policy/retryallowanceshare.h"
 
 #include "mulberryplank/net/clock.h"
 #include "storeclient.h"
@@ -162,7 +162,7 @@
     ReportBatch m_reports; // for the other entries
     Timer m_reportsDue;
     bool m_awaitsReportsDue = false;
-    SlackShare m_slackShare; // of the fixed part of each service's budget
+    RetryAllowanceShare m_retryAllowanceShare; // of the fixed part of each service's budget
     std::vector<Member> m_entries; // the gateways that callers are named
     std::optional<Member> m_reader; // that reads the store for this failure domain; who knows the same members agrees
     bool m_readsConfiguration = false; // from the store
--- a/src/policy/targethealthdecisions.cpp
+++ b/src/policy/targethealthdecisions.cpp
@@ -251,12 +251,12 @@
 
 void ServiceHealth::Private::step(TargetIndex index, Target &target, Instant now)
 {
-    const Judgement judgement { target.badness / threshold(),
-                                target.sick,
-                                claims.holds(target.id),
-                                target.reduces,
-                                target.lifecycle.needsClaim() && mayTry(target, now) };
-    const std::optional<Event> event = target.lifecycle.judge(judgement, now, random);
+    const TargetAssessment assessment { target.badness / threshold(),
+                                        target.sick,
+                                        claims.holds(target.id),
+                                        target.reduces,
+                                        target.lifecycle.needsClaim() && mayTry(target, now) };
+    const std::optional<Event> event = target.lifecycle.assess(assessment, now, random);
     if (!event) {
         return;
     }
--- a/src/state/servicestatecommands.cpp
+++ b/src/state/servicestatecommands.cpp
@@ -227,7 +227,7 @@
         entry.limit.shed(Seconds(finished.retryAfterSeconds), now);
         m_lastShed = now;
     } else if (finished.result == AttemptResult::Success) {
-        entry.limit.answered(view.inFlight, finished.latency, view.expectedLatency);
+        entry.limit.onResponse(view.inFlight, finished.latency, view.expectedLatency);
     }
     if (internal::countsAsFailure(finished.result)) {
         ++entry.failures;
