--- a/include/mulberryplank/policy/atmostonceregistry.h
+++ b/include/mulberryplank/policy/atmostonceregistry.h
@@ -21,56 +21,56 @@
 namespace mulberryplank
 {
 
-// The first half of an Idempotency-Key: the process that alone may run the request, and when it handed the token out.
+// The first part of an Idempotency-Key: the only process that may run the request, and when it issued the token.
 struct IdempotencyToken {
     Incarnation incarnation = 0;
-    std::uint32_t epoch = 0; // counts AtMostOnceSettings::epoch since the process started
+    std::uint32_t epoch = 0; // number of AtMostOnceSettings::epoch periods since the process started
 
     bool operator==(const IdempotencyToken &) const = default;
 };
 
-// Returns the token's text, as `locate` and 428 answers carry it.
+// Returns the token's text, as used in `locate` and 428 responses.
 std::string toString(const IdempotencyToken &token);
 
 // An Idempotency-Key header: "TOKEN/CALLERKEY".
 struct IdempotencyKey {
     IdempotencyToken token;
-    std::string_view callerKey; // 1 to MaxCallerKeyLength characters; points into the text that was parsed
+    std::string_view callerKey; // 1 to MaxCallerKeyLength characters; points into the parsed text
 };
 
 inline constexpr std::size_t MaxCallerKeyLength = 128;
 
-// Returns the key that a header value names, or nothing for another form.
+// Returns the key in a header value, or nothing if the value has another form.
 std::optional<IdempotencyKey> parseIdempotencyKey(std::string_view value);
 
-// Returns a fingerprint that tells a repeat from another request under the same key.
+// Returns a fingerprint that distinguishes a repeat from a different request under the same key.
 std::uint64_t requestFingerprint(std::string_view method, std::string_view target, std::string_view body);
 
-// A target's whole answer, kept to be given again.
+// A target's complete response, kept for replay.
 struct StoredResponse {
     int status = 0;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
 
-    // Returns the memory that the answer takes, in bytes.
+    // Returns the memory that the response takes, in bytes.
     std::size_t size() const;
 };
 
 enum class AtMostOnceDecisionKind : std::uint8_t {
-    Run, // the first time: run it, then call finish()
-    Replay, // give `answer` again
-    InProgress, // runs right now: RepeatInProgress
-    ForwardTo, // the process `incarnation` decides; this one must not run it
-    Unknown, // it may have run and nobody can tell: RepeatUnknown
-    KeyReused, // the key stands for another request: KeyReused
-    Full, // no room to remember one more key: RateLimited, not run, come back after `retryAfter`
+    Run, // first time: run it, then call finishWithResponse() or finishFailed()
+    Replay, // return `answer` again
+    InProgress, // currently running: RepeatInProgress
+    ForwardTo, // process `incarnation` decides; this one must not run it
+    Unknown, // it may have run, and no process can tell: RepeatUnknown
+    KeyReused, // the key belongs to another request: KeyReused
+    Full, // no room for another key: RateLimited, not run, retry after `retryAfter`
     KeyRequired, // no key, or one of another form: KeyRequired, with a new token
 };
 
-// Who handed a request to this process.
+// The sender of a request to this process.
 enum class RequestSource : std::uint8_t {
     Caller,
-    Peer, // another proxy forwarded it
+    Peer, // forwarded by another proxy
 };
 
 struct AtMostOnceDecision {
@@ -82,22 +82,24 @@
 
 struct AtMostOnceSettings {
     Seconds epoch { 60 };
-    std::uint32_t epochsValid = 15; // a token starts new requests during its epoch and so many more
-    std::uint32_t epochsKept = 5; // a key is remembered so much longer than it may start, for repeats of late runs
-    std::size_t maxKeys = 200'000; // in all
+    std::uint32_t epochsValid = 15; // a token can start requests during its epoch and this many more
+    std::uint32_t epochsKept =
+        5; // a key is kept for this many epochs after it can last start a request, for repeats of late runs
+    std::size_t maxKeys = 200'000; // in total
     std::size_t maxKeysPerAccount = 10'000;
-    std::size_t maxResponseBytes = 65'536; // a larger answer isn't kept, only that there was one
+    std::size_t maxResponseBytes = 65'536; // a larger response isn't kept, only the fact that there was one
     std::size_t maxResponseBytesPerAccount = 8'388'608;
 };
 
-// Holds a caller's repeats of a request that isn't idempotent to one run, without a shared store: a key is bound to
-// one process incarnation, and only that process may run it. It keeps what became of the key for longer than the token
-// can start a run, so nothing that ran is ever forgotten while it could be run again; when memory is full it
-// refuses new keys rather than forgetting old ones. docs/pages/at-most-once.md holds the argument. Not thread-safe.
+// Ensures that a non-idempotent request and its repeats run at most once, without a shared store. A key is bound to one
+// process incarnation, and only that process may run it. The process keeps the outcome of a key for longer than the
+// token can start a run, so no outcome is forgotten while the request could run again. If memory is full, it rejects
+// new keys rather than forgetting old ones. See docs/pages/at-most-once.md for the proof. Thread-compatible.
 class AtMostOnceRegistry
 {
 public:
-    // `started` is the process's start. `isMember` says whether an incarnation other than this one is a live member.
+    // `started` is the start of the process. `isMember` returns whether an incarnation other than this one is a live
+    // member.
     AtMostOnceRegistry(Incarnation self,
                        Instant started,
                        AtMostOnceSettings settings,
@@ -109,8 +111,8 @@
     // Returns the token for new keys at `now`.
     IdempotencyToken token(Instant now) const;
 
-    // Decides on a request with that Idempotency-Key. After Run, finishWithResponse() or finishFailed() must be called
-    // whatever happens; until then every repeat gets InProgress. What a peer forwarded is never forwarded again.
+    // Decides on a request with that Idempotency-Key. After Run, finishWithResponse() or finishFailed() must always be
+    // called; until then every repeat gets InProgress. Requests forwarded by a peer are never forwarded again.
     AtMostOnceDecision begin(const AccountName &account,
                              const ServiceName &service,
                              std::string_view key,
@@ -118,16 +120,16 @@
                              Instant now,
                              RequestSource source = RequestSource::Caller);
 
-    // Ends a Run with the target's whole answer.
+    // Ends a Run with the target's complete response.
     void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse answer);
 
-    // Ends a Run that failed: NotRun frees the key for a new run, Unknown bars it for good.
+    // Ends a failed Run: NotRun frees the key for a new run, Unknown blocks it permanently.
     void finishFailed(const AccountName &account, std::string_view key, Outcome outcome);
 
-    // Returns the keys held.
+    // Returns the number of keys held.
     std::size_t size() const;
 
-    // Returns the bytes of answers held for `account`.
+    // Returns the bytes of responses held for `account`.
     std::size_t responseBytes(const AccountName &account) const;
 
 private:
@@ -135,7 +137,7 @@
         Running,
         NotRun,
         Responded,
-        Unknown, // also an answer that could not be kept
+        Unknown, // also a response that could not be kept
     };
     using AutoUnlink = boost::intrusive::link_mode<boost::intrusive::auto_unlink>;
     using ExpiryHook = boost::intrusive::set_base_hook<AutoUnlink>;
@@ -179,7 +181,8 @@
     std::function<bool(Incarnation)> m_isMember;
     std::unordered_map<AccountName, AccountUse> m_use;
     ByExpiry m_byExpiry;
-    std::unordered_map<std::string, Entry> m_entries; // behind the containers that it must be unlinked from
+    std::unordered_map<std::string, Entry>
+        m_entries; // destroyed first: its entries must unlink from the containers above
     std::uint64_t m_sequence = 0;
 };
 
--- a/include/mulberryplank/policy/budgetloan.h
+++ b/include/mulberryplank/policy/budgetloan.h
@@ -8,26 +8,27 @@
 namespace mulberryplank
 {
 
-// The asking side of loans between processes that each hold a part of one budget (WindowBudget). A process asks one
-// other at a time; an answer counts once, and only while it comes soon after its question. So whatever the network
-// loses, repeats or holds back, no more is spent than was given away. Not synchronized.
+// The borrower's side of loans between processes that each hold a share of one budget (WindowBudget). A process has at
+// most one request to one other process outstanding. A response counts once, and only if it arrives soon after its
+// request. Lost, repeated or delayed messages therefore never let the fleet spend more than was lent.
+// Thread-compatible.
 class BudgetLoan
 {
 public:
-    // Returns the number of a new question, or nothing while one waits for its answer.
+    // Returns the number of a new request, or nothing while another request awaits its response.
     std::optional<std::uint64_t> ask(Instant now);
 
-    // Takes the answer to question `number`. Returns until when what was given may be spent, or nothing if the answer
-    // doesn't count.
+    // Accepts the response to request `number`. Returns the time until which the loan may be spent, or nothing if the
+    // response doesn't count.
     std::optional<Instant> accept(std::uint64_t number, Instant now);
 
 private:
-    std::uint64_t m_lastNumber = 0; // of the last question
+    std::uint64_t m_lastNumber = 0; // of the last request
     bool m_awaitingResponse = false;
     Instant m_requestedAt {};
 };
 
-// How long after its question a loan may be spent. The lender counts it for as much longer.
+// Time after its request for which a loan may be spent. The lender counts the loan as spent for that much longer.
 inline constexpr Duration LoanLifetime = Seconds(1);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/calleridentity.h
+++ b/include/mulberryplank/policy/calleridentity.h
@@ -9,21 +9,21 @@
 namespace mulberryplank
 {
 
-// What a caller claims in its Authorization header. Nothing of it is proven until secretMatches() has said so.
+// The identity that a caller presents in its Authorization header. Unverified until secretMatches() returns true.
 struct PresentedIdentity {
     AccountName account;
-    std::string_view secret; // points into the header value that was parsed
+    std::string_view secret; // points into the parsed header value
 };
 
-// Returns the claim in an Authorization header of the form "Bearer ACCOUNT.SECRET", or nothing when the value has
-// another form. The account's name reaches up to the last dot, so a name may hold dots and a secret may not. `value`
-// must outlive the result.
+// Returns the identity in an Authorization header of the form "Bearer ACCOUNT.SECRET", or nothing if the value has
+// another form. The account name extends to the last dot, so it may contain dots and the secret may not. `value` must
+// outlive the result.
 std::optional<PresentedIdentity> parseAuthorization(std::string_view value);
 
-// Returns the digest of `secret` as it stands in the configuration.
+// Returns the digest of `secret` in the form that the configuration stores.
 SecretDigest digestOf(std::string_view secret);
 
-// Returns true if `secret` is the one that `expected` is the digest of. Takes the same time wherever they differ.
+// Returns true if `expected` is the digest of `secret`. Runs in constant time, wherever the digests differ.
 bool secretMatches(std::string_view secret, const SecretDigest &expected);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/costmodel.h
+++ b/include/mulberryplank/policy/costmodel.h
@@ -8,40 +8,40 @@
 namespace mulberryplank
 {
 
-// A small number that stands for one client account within one service's state in one process. Given out densely from
-// 0, since memory grows with the largest one.
+// Index of a client account within the state of one service in one process. Allocated densely from 0, since memory
+// grows with the largest index.
 using AccountIndex = std::uint32_t;
 
 struct CostModelSettings {
     Duration initialCost = Millis(25); // assumed until the first request has ended
-    Duration minimumCost = std::chrono::microseconds(500); // what a request costs its target at least
-    double gain = 0.1; // part of each new sample in the moving averages, 0 to 1
-    double priorSamples = 4; // how many samples of its own an account needs until they outweigh the route's average
+    Duration minimumCost = std::chrono::microseconds(500); // lower bound of the cost of a request to its target
+    double gain = 0.1; // weight of each new sample in the moving averages, 0 to 1
+    double priorSamples = 4; // number of samples of an account at which they weigh as much as the route's average
 };
 
-// Slot-time that a request will cost its target, learnt per route and per account and route. An account with few
-// samples is estimated by the route's average. One model per service. Not synchronized.
+// Estimates the slot-time that a request will cost its target, learned per route and per account and route. An account
+// with few samples is estimated by the route's average. One model per service. Thread-compatible.
 class CostModel
 {
 public:
     explicit CostModel(CostModelSettings settings);
 
-    // Returns the expected slot-time of a request, never below the minimum cost. O(1).
+    // Returns the expected slot-time of a request, at least the minimum cost. O(1).
     Duration estimate(AccountIndex account, std::uint16_t route) const;
 
     // Returns the moving average over all requests of the service.
     Duration averageCost() const;
 
-    // Returns the geometric mean over all requests of the service, which a few huge ones hardly raise.
+    // Returns the geometric mean over all requests of the service, which a few very large requests hardly raise.
     Duration typicalCost() const;
 
-    // Returns what a request that took `slotTime` costs: the minimum cost for shorter ones.
+    // Returns the cost of a request that took `slotTime`: the minimum cost for shorter ones.
     Duration costOf(Duration slotTime) const;
 
-    // Takes in the real slot-time of a request that has ended.
+    // Records the actual slot-time of a request that has ended.
     void learn(AccountIndex account, std::uint16_t route, Duration slotTime);
 
-    // Forgets an account, whose index may then stand for another.
+    // Discards the samples of an account, whose index may then be reused.
     void forget(AccountIndex account);
 
 private:
--- a/include/mulberryplank/policy/fairqueue.h
+++ b/include/mulberryplank/policy/fairqueue.h
@@ -13,29 +13,29 @@
 namespace mulberryplank
 {
 
-// Names one request within one queue. Chosen by the caller, not used twice while the request is known.
+// Identifies one request within one queue. Chosen by the caller; must not be reused while the request is known.
 using RequestId = std::uint64_t;
 
-// A local limit on requests in flight or queued that admits none. Needed since 0 stands for "no limit" in Limits, but
-// one proxy's share of a small limit may well be none.
+// A local limit on requests in flight or queued that admits none. Needed because 0 means "no limit" in Limits, while
+// one proxy's share of a small limit may be zero.
 inline constexpr std::uint32_t AdmitNone = 0xffff'ffff;
 
 struct FairQueueSettings {
     CostModelSettings cost;
     std::uint32_t totalQueue = 1'024; // waiting requests of all accounts together
     std::uint32_t accountQueueFloor = 4; // waiting requests that every account may have, however many accounts wait
-    double burstSeconds = 0.05; // of an account's rate that may come at once
+    double burstSeconds = 0.05; // seconds of an account's rate that may arrive at once
 };
 
-// Requests of one account that were not started, by reason.
+// Counts of one account's requests that were not started, by reason.
 struct Refusals {
     std::uint64_t rateLimited = 0;
     std::uint64_t inFlightLimited = 0;
     std::uint64_t queueFull = 0;
-    std::uint64_t deadlineBeforeStart = 0; // refused on arrival
-    std::uint64_t expired = 0; // shed after having waited
+    std::uint64_t deadlineBeforeStart = 0; // rejected on arrival
+    std::uint64_t expired = 0; // shed after waiting
 
-    // Counts one refusal on arrival; kinds that enqueue() doesn't return are ignored.
+    // Counts one rejection on arrival. Ignores kinds that enqueue() doesn't return.
     void count(ErrorKind kind);
 
     std::uint64_t total() const;
@@ -43,9 +43,9 @@
     bool operator==(const Refusals &) const = default;
 };
 
-// What operators see of one account.
+// Usage of one account, as shown to operators.
 struct AccountUsage {
-    double entitled = 0; // part of the service, 0 to 1, that its weight gives it among the accounts active now
+    double entitled = 0; // share of the service, 0 to 1, that its weight gives it among the currently active accounts
     Duration used {}; // slot-time charged so far, retries and hedges included
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
@@ -53,31 +53,31 @@
     Refusals refused;
 };
 
-// What one account asked of this process since the last FairQueue::takeDemand(), refused requests included.
+// Demand of one account on this process since the last FairQueue::takeDemand(), rejected requests included.
 struct AccountDemand {
     AccountIndex account = 0;
-    Duration interval {}; // the time that this is about
+    Duration interval {}; // the period that the demand covers
     double requestsPerSecond = 0;
-    double slots = 0; // slot-time asked for per second
+    double slots = 0; // slot-time requested per second
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     double inFlightWanted = 0;
     double queueWanted = 0;
 };
 
-// The waiting requests of one service in one process, started in the order of start-time fair queueing: each account
-// has a virtual time, which is the slot-time charged to it divided by its weight, and the waiting account with the
-// least virtual time goes next. An account that begins to wait is moved up to the virtual time of the request started
-// last, so that time spent idle earns nothing and costs nothing.
+// The waiting requests of one service in one process, started in the order of start-time fair queueing. Each account
+// has a virtual time: the slot-time charged to it divided by its weight. The waiting account with the lowest virtual
+// time is next. An account that begins to wait is moved up to the virtual time of the request started last, so that
+// idle time earns no credit and costs nothing.
 //
-// Cost is charged by estimate on start, charged on while a request runs longer than charged for, and corrected when it
-// ends. While no account has to wait for another, what anyone uses is forgiven.
+// Cost is charged by estimate on start, charged again while a request runs longer than charged for, and corrected when
+// it ends. While no account waits for another, usage isn't held against any account.
 //
-// Guarantee: between any two accounts that wait throughout an interval, charged slot-time divided by weight differs by
-// at most the greatest cost charged for one request of each divided by its weight. The order in which an account's
-// requests arrive, the number of its connections and what it cancels don't enter.
+// Guarantee: for any two accounts that wait throughout an interval, charged slot-time divided by weight differs by at
+// most the sum, for both, of the greatest cost charged for one request divided by the weight. The order in which an
+// account's requests arrive, the number of its connections and its cancellations have no influence.
 //
-// Every operation is O(log n) in the accounts that wait and the requests known. Not synchronized.
+// Every operation is O(log n) in the waiting accounts and the known requests. Thread-compatible.
 class FairQueue
 {
 public:
@@ -86,68 +86,68 @@
     FairQueue(const FairQueue &) = delete;
     FairQueue &operator=(const FairQueue &) = delete;
 
-    // Adds an account or changes its weight, 1 to MaxWeight, and its limits in this process.
+    // Adds an account, or changes its weight, 1 to MaxWeight, and its limits in this process.
     void setAccount(AccountIndex account, std::uint32_t weight, Limits localLimits);
 
-    // Changes an account's limits in this process, as FleetShares::localLimits() gives them. Ignored for an account
-    // that wasn't added.
+    // Changes an account's limits in this process, as from FleetShares::localLimits(). Ignored for unknown accounts.
     void setLocalLimits(AccountIndex account, Limits localLimits);
 
-    // Sets an account's weight in this process, above 0, as FleetShares::localWeight() gives it. Ignored for an
-    // account that wasn't added.
+    // Sets an account's weight in this process, above 0, as from FleetShares::localWeight(). Ignored for unknown
+    // accounts.
     void setLocalWeight(AccountIndex account, double weight);
 
-    // Removes an account. Its waiting requests come back from the next expired(); running ones are still to be
-    // reported to finished().
+    // Removes an account. Its waiting requests are returned by the next expired(). Running ones must still be reported
+    // to finished().
     void removeAccount(AccountIndex account);
 
-    // Sets how many requests the targets can run for this process at once; 0: not known. Waits are estimated from it,
-    // else from what runs. Only if it is known are requests of many times the typical cost kept from taking every slot
-    // that others leave unused for a moment.
+    // Sets how many requests the targets can run for this process at once; 0: unknown. Waits are estimated from it, or
+    // else from the number of running requests. Only if it is known are requests of many times the typical cost kept
+    // from taking every slot that is briefly unused.
     void setCapacity(double slots);
 
-    // Sets the typical cost of the service's requests interval all its proxies, as FleetShares::typicalCost() gives it;
-    // zero: not known. A proxy that has only huge requests can't tell by itself that others have small ones.
+    // Sets the typical cost of the service's requests on all its proxies, as from FleetShares::typicalCost(); zero:
+    // unknown. A proxy that has only very large requests can't tell by itself that others have small ones.
     void setTypicalCost(Duration cost);
 
-    // Sets the bound of waiting requests of all accounts, at least 1. Accounts that have more waiting than their part
-    // of it are refused until they have less.
+    // Sets the maximum number of waiting requests of all accounts, at least 1. Accounts with more waiting requests than
+    // their share of it are rejected until they have fewer.
     void setTotalQueue(std::uint32_t requests);
 
     // Adds a waiting request. Errors: RateLimited, InFlightLimited, QueueFull, DeadlineBeforeStart (the expected wait
-    // passes `deadline`), Forbidden (no such account). A refused request is not known to the queue afterwards.
+    // exceeds `deadline`), Forbidden (no such account). The queue doesn't keep a rejected request.
     Result<void> enqueue(RequestId request, AccountIndex account, std::uint16_t route, Instant deadline, Instant now);
 
-    // Returns the request to start now, or nothing when none may start. To be called when a target has room. The
-    // request then counts as running until finished().
+    // Returns the request to start, or nothing if none may start. Must be called when a target has room. The request
+    // counts as running until finished().
     std::optional<RequestId> next(Instant now);
 
-    // Removes and returns the waiting requests that can't make their deadline any more and those of removed accounts.
-    // None of them was started. To be called before next(), and at nextExpiry() at the latest.
+    // Removes and returns the waiting requests that can no longer meet their deadline and those of removed accounts.
+    // None of them was started. Must be called before next(), and no later than nextExpiry().
     std::vector<RequestId> expired(Instant now);
 
-    // Returns when expired() will next have something to return, if nothing else happens.
+    // Returns when expired() will next have something to return if nothing else happens.
     std::optional<Instant> nextExpiry() const;
 
     // Removes a waiting request and returns true, or returns false if the request is running or unknown. A running
-    // request that is cancelled is reported to finished() as soon as its slot is free.
+    // request that is cancelled must be reported to finished() as soon as its slot is free.
     bool cancel(RequestId request, Instant now);
 
-    // Ends a running request, which held its slot for `slotTime`. Ignored for any other.
+    // Ends a running request, which held its slot for `slotTime`. Ignored for any other request.
     void finished(RequestId request, Duration slotTime, Instant now);
 
-    // Charges an account for slot-time spent outside of next(): retries, hedges, resumed bodies.
+    // Charges an account for slot-time spent outside next(): retries, hedges, resumed bodies.
     void charge(AccountIndex account, Duration cost);
 
-    // Returns when a refused caller of the account should come again: at least until a token of its rate is there or
-    // until its waiting requests should have started, spread so that callers refused together don't return together.
+    // Returns the delay after which a rejected caller of the account should retry: at least until a token of its rate
+    // is available or its waiting requests should have started. Delays are spread so that callers rejected together
+    // don't return together.
     Duration retryAfter(AccountIndex account, Instant now) const;
 
-    // Returns what the account used so far; all zero for an unknown one.
+    // Returns the usage of the account so far; all zero for an unknown one.
     AccountUsage usage(AccountIndex account) const;
 
-    // Returns the demand of the accounts that asked for anything, or had anything running or waiting, since the last
-    // call. O(of those accounts).
+    // Returns the demand of the accounts that had requests arriving, running or waiting since the last call. O(number
+    // of those accounts).
     std::vector<AccountDemand> takeDemand(Instant now);
 
     std::size_t waiting() const;
--- a/include/mulberryplank/policy/ratelimit.h
+++ b/include/mulberryplank/policy/ratelimit.h
@@ -5,22 +5,22 @@
 namespace mulberryplank
 {
 
-// A token bucket: admits `rate` requests a second on average, and a burst of at most `burst` at once.
+// A token bucket. Admits `rate` requests per second on average and bursts of up to `burst` requests.
 class TokenBucket
 {
 public:
-    // Sets the rate in requests a second (0: no limit) and the burst in requests, at least 1. A bucket that
-    // had no limit starts full; later, tokens already earned stay, up to the new burst, so that a changed rate gives
-    // nothing away.
+    // Sets the rate in requests per second (0: no limit) and the burst in requests, at least 1. A bucket that had no
+    // limit starts full. Later changes keep the earned tokens, up to the new burst, so that a changed rate grants no
+    // extra requests.
     void setRate(double rate, double burst, Instant now);
 
     // Returns true if a request may be admitted.
     bool admits(Instant now) const;
 
-    // Takes one token. To be called after admits() returned true.
+    // Takes one token. Must be called after admits() returned true.
     void take(Instant now);
 
-    // Returns how long until the next token: zero if one is there.
+    // Returns the time until the next token, or zero if one is available.
     Duration untilToken(Instant now) const;
 
 private:
--- a/include/mulberryplank/policy/retrybudget.h
+++ b/include/mulberryplank/policy/retrybudget.h
@@ -9,23 +9,23 @@
 
 struct RetryBudgetSettings {
     double share = 0.1; // extra attempts per successful request
-    double maxTokens = 10; // tokens that may pile up: the largest burst of extra attempts
+    double maxTokens = 10; // maximum number of tokens: the largest burst of extra attempts
     double initial = 1; // tokens at the start
 };
 
-// Bounds the load that retries, hedges and range resumes add. Each success earns a part of a token and each extra
-// attempt spends a whole one. Without it, an outage in which every request is retried would multiply the load on
-// targets that are already failing; with it, the extra load fades to nothing within `maxTokens` attempts while nothing
-// succeeds, and stays below `share` of the successes otherwise. Not thread-safe.
+// Bounds the load that retries, hedges and range resumes add. Each success earns a fraction of a token and each extra
+// attempt spends a whole one. Without this bound, an outage in which every request is retried would multiply the load
+// on targets that are already failing. With it, extra load ends after `maxTokens` attempts while no request succeeds,
+// and stays below `share` of the successes otherwise. Thread-compatible.
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryBudgetSettings settings = {});
 
-    // To be called once for each request that ended with a target's answer at its first attempt or a later one.
+    // Must be called once for each request that ended with a target's response, at the first or a later attempt.
     void onSuccess();
 
-    // Takes a token for one extra attempt. Returns false, and takes nothing, when there is none.
+    // Takes a token for one extra attempt. Returns false and takes nothing if there is none.
     bool trySpend();
 
     // Returns the tokens left.
@@ -41,8 +41,8 @@
     Millis maxTokens { 1'000 };
 };
 
-// Returns the pause before retry number `retry` (1 for the first): evenly distributed between zero and a bound that
-// doubles from `first` to `maxTokens`, so that requests which failed together don't return together.
+// Returns the delay before retry number `retry` (1 for the first). It is evenly distributed between zero and a bound
+// that doubles from `first` to `maxTokens`, so that requests that failed together don't retry together.
 Duration backoff(const BackoffSettings &settings, unsigned retry, std::minstd_rand &random);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/seqwindow.h
+++ b/include/mulberryplank/policy/seqwindow.h
@@ -12,26 +12,26 @@
 namespace mulberryplank
 {
 
-// Counts the messages of one sender within one process run. Starts at 1.
+// Number of a message of one sender within one process run. Starts at 1.
 using Sequence = std::uint64_t;
 
-// Tells a sequence number that was seen before, or is too old to tell, from a new one. Numbers may arrive out of order
-// by up to Span.
+// Distinguishes new sequence numbers from those that were seen before or are too old to tell. Numbers may arrive out of
+// order by up to Span.
 class SequenceWindow
 {
 public:
     static constexpr std::size_t Span = 256;
 
-    // Returns true exactly once per number; false for 0 and for numbers Span or more below the highest one.
+    // Returns true exactly once per number. Returns false for 0 and for numbers Span or more below the highest one.
     bool accept(Sequence sequence);
 
 private:
     Sequence m_highest = 0;
-    std::bitset<Span> m_seen; // bit i stands for m_highest - i
+    std::bitset<Span> m_seen; // bit i represents m_highest - i
 };
 
-// One SequenceWindow per sender incarnation, for at most `capacity` of them; the one unheard from for longest makes
-// way.
+// Keeps one SequenceWindow per sender incarnation, for at most `capacity` of them. Evicts the sender from which no
+// message was received for the longest time.
 class ReplayGuard
 {
 public:
@@ -40,10 +40,10 @@
     ReplayGuard(const ReplayGuard &) = delete;
     ReplayGuard &operator=(const ReplayGuard &) = delete;
 
-    // Returns true if the message is new and counts it as seen.
+    // Returns true if the message is new, and records it.
     bool accept(Incarnation sender, Sequence sequence);
 
-    // Returns the number of senders remembered.
+    // Returns the number of senders kept.
     std::size_t size() const;
 
 private:
@@ -54,7 +54,7 @@
 
     std::size_t m_capacity;
     std::unordered_map<Incarnation, Sender> m_senders;
-    boost::intrusive::list<Sender> m_byLastReceived; // the latest heard from first
+    boost::intrusive::list<Sender> m_byLastReceived; // most recent first
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/targetdirectory.h
+++ b/include/mulberryplank/policy/targetdirectory.h
@@ -15,63 +15,63 @@
 namespace mulberryplank
 {
 
-// One start of a target, as it announces itself. It may start again under its id; its address may be used again by a
-// target of another service.
+// One run of a target, as announced by the target. A target may restart under the same id, and its address may later be
+// used by a target of another service.
 struct AnnouncedTarget {
     TargetName id;
     ServiceName service;
     Endpoint endpoint;
     FailureDomain failureDomain;
-    std::uint32_t slots = 1; // requests that it works on at the same time
-    bool draining = false; // it ends soon and takes no new work
-    Duration warmupLeft {}; // how much longer it is slow after its start
-    std::uint64_t sequence = 0; // grows with each heartbeat since its start
-    std::int64_t startedMillis = 0; // Unix time of its start, in milliseconds; 0: not told
+    std::uint32_t slots = 1; // number of requests that it processes concurrently
+    bool draining = false; // it stops soon and takes no new work
+    Duration warmupLeft {}; // remaining time for which it is slow after its start
+    std::uint64_t sequence = 0; // increases with each heartbeat since its start
+    std::int64_t startedMillis = 0; // Unix time of its start, in milliseconds; 0: unknown
 
     // Returns true if nothing but the heartbeat's number differs.
     bool sameState(const AnnouncedTarget &other) const;
 };
 
-// How a target is listed now.
+// A target as currently listed.
 struct ListedTarget {
     AnnouncedTarget target;
-    Instant lastHeartbeat {}; // when its newest record arrived here
-    Instant warmAt {}; // when it is as fast as it gets
-    std::optional<Instant> removedAt; // its entry has lapsed; kept until it is sure that it does not come back
+    Instant lastHeartbeat {}; // time at which its newest record arrived here
+    Instant warmAt {}; // time at which it reaches full speed
+    std::optional<Instant> removedAt; // its entry has expired; kept until it is certain that the target doesn't return
 };
 
-// The targets that have announced themselves, as a fold of the records of the platform's store. An entry that goes
-// while the store was away a moment ago may be one that merely lapsed: its target has `returnGrace` from the store's
-// return to announce itself again, and is kept that long. All other removals count at once. Not synchronized.
+// The targets that have announced themselves, built from the records of the platform's store. An entry that is removed
+// shortly after an outage of the store may only have expired: its target has `returnGrace` from the store's return to
+// announce itself again, and is kept for that time. All other removals take effect at once. Thread-compatible.
 class TargetDirectory
 {
 public:
-    // `returnGrace`: within which live targets are back after the store's return.
+    // `returnGrace` is the time within which live targets announce themselves after the store's return.
     explicit TargetDirectory(Duration returnGrace);
 
-    // A target's record. Returns true if its state differs from what was known.
+    // Applies a target's record. Returns true if its state differs from the known one.
     bool announce(const AnnouncedTarget &target, Instant now);
 
-    // A target's entry was removed. Returns true if the target is gone.
+    // Applies the removal of a target's entry. Returns true if the target was removed from the list.
     bool remove(const TargetName &id, Instant now);
 
-    // Replaces everything by a complete list. Returns true if any state differs.
+    // Replaces all entries by a complete list. Returns true if any state differs.
     bool replaceAll(const std::vector<AnnouncedTarget> &targets, Instant now);
 
-    // The store answers again after having been away.
+    // Records that the store responds again after an outage.
     void storeReturned(Instant now);
 
-    // Drops lapsed entries whose time is up. Returns true if there were any.
+    // Removes expired entries whose grace period has passed. Returns true if there were any.
     bool expire(Instant now);
 
     // Returns all targets that may exist, by id.
     const std::map<TargetName, ListedTarget> &targets() const;
 
-    // Returns how often a target's state has changed so far, its coming and going included.
+    // Returns the number of changes of targets' states so far, additions and removals included.
     std::uint64_t changes() const;
 
-    // Returns the targets whose states have changed since there were so many changes, those that have gone among them;
-    // nothing when that is too long ago to be known, or was never so.
+    // Returns the targets whose states have changed since changes() returned `changes`, removed ones included. Returns
+    // nothing if that is too long ago to be known, or if changes() never had that value.
     std::optional<std::set<TargetName>> changedSince(std::uint64_t changes) const;
 
 private:
@@ -82,7 +82,7 @@
     std::optional<Instant> m_returnedAt;
     std::map<TargetName, ListedTarget> m_targets;
     std::uint64_t m_changes = 0;
-    std::deque<TargetName> m_changed; // by the latest of them, oldest first
+    std::deque<TargetName> m_changed; // ids of the latest changes, oldest first
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/targetlifecycle.h
+++ b/include/mulberryplank/policy/targetlifecycle.h
@@ -15,19 +15,19 @@
     Duration firstEjection = Millis { 5'000 }; // doubled for each further one
     Duration maxEjection = Millis { 300'000 };
     Duration slowStart = Millis { 10'000 };
-    Duration trialLimit = Millis { 30'000 }; // a trial that nothing tested ends as passed
+    Duration trialLimit = Millis { 30'000 }; // a trial without enough requests to decide passes after this time
 };
 
-// What is thought of a target at one tick.
+// The assessment of a target at one tick.
 struct TargetAssessment {
-    double suspicion = 0; // as a share of what ejects: 1 and up is faulty
-    bool faulty = false; // enough to eject
+    double suspicion = 0; // relative to the ejection threshold: 1 and above is faulty
+    bool faulty = false; // above the ejection threshold
     bool mayEject = false; // the floor allows it now
     bool mayReduceWeight = true; // its weight may be lowered
     bool mayStartTrial = true; // an ejection that has lasted long enough may end in a trial
 };
 
-// Leads one target through its phases: less weight, ejection, trial, slow start. Not synchronized.
+// State machine of one target: reduced weight, ejection, trial, slow start. Thread-compatible.
 class TargetLifecycle
 {
 public:
@@ -36,16 +36,17 @@
 
     void setLeaving(bool leaving, Instant now);
 
-    // A target that is cold by its own word stays at the beginning of its slow start.
+    // A target that reports itself as cold stays at the beginning of its slow start.
     void setCold(bool cold, Instant now);
 
-    // Moves on by one tick; returns what happened, if anything. `random` spreads the length of ejections.
+    // Advances by one tick. Returns the event that occurred, if any. `random` spreads the length of ejections.
     std::optional<Event> assess(const TargetAssessment &assessment, Instant now, std::mt19937_64 &random);
 
-    // Takes in the outcome of a request on trial; `latencyStep` is Detector::latencyStep(). To be called in Trial only.
+    // Records the outcome of a request on trial; `latencyStep` is Detector::latencyStep(). Must be called in Trial
+    // only.
     void observeTrial(bool error, double latencyStep);
 
-    // Ends a trial as failed: its request hangs.
+    // Ends a trial as failed because its request hangs.
     void failTrial();
 
     TargetPhase phase() const;
@@ -56,13 +57,13 @@
     // Returns true from ejection until the end of the slow start that follows.
     bool needsClaim() const;
 
-    // Returns true while the target can't be counted on for reasons other than ejection.
+    // Returns true while the target is unavailable for reasons other than ejection.
     bool isUnavailable() const;
 
-    // Returns true while latencies may be raised for a good reason.
+    // Returns true while raised latencies are expected.
     bool isCold() const;
 
-    // Returns how many ejections still count for the length of the next.
+    // Returns how many ejections still count towards the length of the next.
     std::uint32_t timesEjected() const;
 
 private:
--- a/include/mulberryplank/policy/weightedsplit.h
+++ b/include/mulberryplank/policy/weightedsplit.h
@@ -10,10 +10,10 @@
 namespace mulberryplank
 {
 
-// Divides the requests of each route over its services in proportion to their weights, by smooth weighted round robin:
-// after any number of requests each service's count is within one of its share, where independent random choices would
-// be off by the square root of the count. Each process begins at a place of its own (`seed`), so that processes with
-// few requests each don't all begin with the same service. Not synchronized.
+// Divides the requests of each route among its services in proportion to their weights, by smooth weighted round robin.
+// After any number of requests each service's count is within one of its share, where independent random choices would
+// be off by the square root of the count. Each process begins at a position derived from `seed`, so that processes with
+// few requests don't all begin with the same service. Thread-compatible.
 class WeightedSplit
 {
 public:
--- a/include/mulberryplank/policy/windowbudget.h
+++ b/include/mulberryplank/policy/windowbudget.h
@@ -9,45 +9,45 @@
 namespace mulberryplank
 {
 
-// How many extra attempts a service may get in a sliding window: `ratio` of its requests and `fixedAllowance` besides.
-// Both hold for the whole fleet; a process spends `ratio` of the requests that it has itself and its share of the
-// fixedAllowance.
+// Settings for the number of extra attempts a service may get in a sliding window: `ratio` of its requests plus
+// `fixedAllowance`. Both apply to the whole fleet. A process spends `ratio` of its own requests and its share of the
+// fixed retry allowance.
 struct WindowBudgetSettings {
     double ratio = 0.2;
     Duration window = Seconds(10);
     double fixedAllowance = 10; // of this process
 };
 
-// Counts a service's requests and extra attempts over a sliding window of ten buckets. A part that lies idle can be
-// lent to another process: the lender counts it as spent, and longer than the borrower may spend it. Not synchronized.
+// Counts the requests and extra attempts of a service in a sliding window of ten buckets. Unused budget can be lent to
+// another process. The lender counts a loan as spent, for longer than the borrower may spend it. Thread-compatible.
 class WindowBudget
 {
 public:
     explicit WindowBudget(WindowBudgetSettings settings);
 
-    // Changes the fixedAllowance, which follows the number of processes that share it.
+    // Changes the fixed retry allowance, which depends on the number of processes that share it.
     void setFixedAllowance(double fixedAllowance);
 
-    // A request has arrived.
+    // Records a request.
     void onRequest(Instant now);
 
-    // Takes one extra attempt from the budget. Returns false when there is none left, `reserve` being kept back for
-    // more important ones.
+    // Takes one extra attempt from the budget. Returns false if none is left beyond `reserve`, which is kept for more
+    // important attempts.
     [[nodiscard]] bool trySpend(Instant now, double reserve = 0);
 
-    // Gives away one extra attempt, which another process may make within LoanLifetime. Returns false when less than
-    // `reserve` would be left.
+    // Lends one extra attempt, which another process may make within LoanLifetime. Returns false if less than `reserve`
+    // would be left.
     [[nodiscard]] bool tryLend(Instant now, double reserve);
 
-    // Takes one extra attempt that another process has given away, to be made before `until`.
+    // Adds one extra attempt borrowed from another process, to be made before `until`.
     void borrow(Instant until);
 
-    // Returns what is left, borrowed attempts included.
+    // Returns the extra attempts left, borrowed ones included.
     double left(Instant now);
 
 private:
     static constexpr std::size_t Buckets = 10;
-    // A loan is counted as if it were spent so many buckets later: in the last moment in which it can be.
+    // A loan is counted as spent this many buckets later, at the last moment at which the borrower can spend it.
     static constexpr std::size_t LoanBuckets = 2;
 
     struct Bucket {
@@ -60,9 +60,10 @@
     double ownLeft(Instant now);
 
     WindowBudgetSettings m_settings;
-    // One more than the window, so that a full window is always counted; and those that loans are counted in.
+    // One bucket more than the window, so that a full window is always counted, plus the buckets in which loans are
+    // counted.
     std::array<Bucket, Buckets + 1 + LoanBuckets> m_buckets {};
-    std::vector<Instant> m_borrowed; // until when each may be spent
+    std::vector<Instant> m_borrowed; // expiry time of each borrowed attempt
     std::int64_t m_current = 0;
 };
 
--- a/src/policy/atmostonceregistry.cpp
+++ b/src/policy/atmostonceregistry.cpp
@@ -16,7 +16,7 @@
 constexpr int Base = 16;
 constexpr std::size_t MaxForgottenPerCall = 32;
 
-// Takes a hexadecimal number without sign or leading blank off the front of `text`.
+// Parses a hexadecimal number without sign or leading blank and removes it from the front of `text`.
 template<typename Number>
 bool takeHex(std::string_view &text, Number &value)
 {
@@ -46,7 +46,7 @@
     });
 }
 
-// Account names hold no line feed and keys are printable, so two different pairs never give the same text.
+// Account names contain no line feed and keys are printable, so two different pairs never give the same text.
 std::string entryId(const AccountName &account, std::string_view key)
 {
     return account.value() + '\n' + std::string(key);
@@ -81,7 +81,7 @@
     key.callerKey = rest.substr(1);
     const std::string_view token = value.substr(0, value.size() - rest.size());
     const bool lengthFits = !key.callerKey.empty() && key.callerKey.size() <= MaxCallerKeyLength;
-    // Only the spelling that was handed out counts: two spellings of one key would be two runs.
+    // Only the issued spelling is valid. Two accepted spellings of one key could run twice.
     if (!lengthFits || !internal::isPrintable(key.callerKey) || token != toString(key.token)) {
         return std::nullopt;
     }
@@ -140,9 +140,9 @@
         return internal::decision(AtMostOnceDecisionKind::KeyRequired);
     }
     if (parsed->token.incarnation != m_self) {
-        // A peer that forwards here believes this process to be the one named. It isn't, so that one has been replaced;
-        // forwarding again could go round in circles between two views of the membership, or from this process to
-        // itself, until the deadline.
+        // A peer that forwards here takes this process for the named one. It isn't, so the named process has been
+        // replaced. Forwarding again could loop between two views of the membership, or from this process to itself,
+        // until the deadline.
         const bool forward = source == RequestSource::Caller && m_isMember(parsed->token.incarnation);
         AtMostOnceDecision result =
             internal::decision(forward ? AtMostOnceDecisionKind::ForwardTo : AtMostOnceDecisionKind::Unknown);
@@ -150,7 +150,7 @@
         return result;
     }
     if (parsed->token.epoch > token(now).epoch) {
-        // Never handed out by this process, so nothing can have run under it yet.
+        // Not issued by this process, so no request can have run under it yet.
         return internal::decision(AtMostOnceDecisionKind::KeyRequired);
     }
     forgetExpired(now);
@@ -158,7 +158,7 @@
         return repeat(*entry, service, fingerprint);
     }
     if (now >= startsUntil(parsed->token)) {
-        // An entry of that age would have been forgotten: whether there was one, nobody can tell.
+        // An entry of that age would have been forgotten, so whether there was one is unknown.
         return internal::decision(AtMostOnceDecisionKind::Unknown);
     }
     return first(account, service, key, parsed->token, fingerprint, now);
@@ -202,16 +202,16 @@
     return found == m_use.end() ? 0 : found->second.responseBytes;
 }
 
-// Returns until when a key with that token, and not yet known, may start a run.
+// Returns the time until which a yet unknown key with that token may start a run.
 Instant AtMostOnceRegistry::startsUntil(const IdempotencyToken &token) const
 {
     const std::int64_t epochs = std::int64_t { token.epoch } + m_settings.epochsValid + 1;
     return m_started + m_settings.epoch * epochs;
 }
 
-// Forgets a few at a time, so that no request pays for the many that expire together at the end of an epoch. An entry
-// that is met after its time does no harm, and neither does forgetting a run that still goes on: its token is long past
-// starting another.
+// Forgets a few entries at a time, so that no request pays for the many that expire together at the end of an epoch.
+// Finding an expired entry is harmless. So is forgetting a run that is still in progress, since its token can no longer
+// start another run.
 void AtMostOnceRegistry::forgetExpired(Instant now)
 {
     for (std::size_t left = internal::MaxForgottenPerCall; left > 0 && !m_byExpiry.empty(); --left) {
@@ -238,8 +238,8 @@
     static_cast<ResponseHook &>(entry).unlink();
 }
 
-// The oldest answers make room for newer ones of the same account; their keys stay, so that a repeat is told that
-// nobody can tell rather than run again.
+// The oldest responses make room for newer ones of the same account. Their keys stay, so that a repeat gets Unknown
+// rather than running again.
 void AtMostOnceRegistry::makeRoomForResponse(AccountUse &use, std::size_t bytes)
 {
     while (use.responseBytes + bytes > m_settings.maxResponseBytesPerAccount) {
--- a/src/policy/atmostonceregistrytest.cpp
+++ b/src/policy/atmostonceregistrytest.cpp
@@ -6,7 +6,7 @@
 
 #include <rapidcheck.h>
 
-#include <CppUTest/TestHarness.h> // redefines new, so it comes last
+#include <CppUTest/TestHarness.h> // redefines new, so it is included last
 
 using namespace mulberryplank;
 
@@ -22,7 +22,7 @@
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(first, end));
 }
 
-// Small enough that schedules of a few hundred events meet every bound.
+// Small enough that schedules of a few hundred events reach every bound.
 AtMostOnceSettings tightSettings()
 {
     AtMostOnceSettings settings;
@@ -34,18 +34,18 @@
     return settings;
 }
 
-// One process: its registry dies with it.
+// One process. Its registry is destroyed with it.
 struct FakeProxy {
     Incarnation incarnation = 0;
     std::unique_ptr<AtMostOnceRegistry> registry;
 };
 
-// A key as its caller knows it, and what truly became of it.
+// A key as known to its caller, and the actual outcome.
 struct FakeKey {
     AccountName account;
     std::string text;
     int mayHaveRun = 0; // runs that can't be ruled out
-    std::uint64_t fingerprint = 0; // of the request that was let run
+    std::uint64_t fingerprint = 0; // of the request that ran
     std::string answer; // of the run
 };
 
@@ -54,8 +54,8 @@
     std::size_t key = 0;
 };
 
-// Proxies that are restarted and paused, callers that repeat through any of them, forwards and answers that are lost,
-// views of the membership that are wrong.
+// Simulates proxies that restart and pause, callers that repeat requests through any of them, lost forwards and
+// responses, and wrong views of the membership.
 class FakeFleet
 {
 public:
@@ -89,7 +89,7 @@
         } else if (kind < 18) {
             restart(proxy);
         } else {
-            // Up to a pause of more than the whole life of a token.
+            // Pauses for up to more than the lifetime of a token.
             m_now += Seconds(randomInt(0, randomInt(0, 4) == 0 ? 400 : 40));
         }
     }
@@ -216,7 +216,7 @@
 
 TEST_GROUP(AtMostOnceRegistry) {};
 
-// Failure: a crash report is filed twice.
+// Guards against filing a crash report twice.
 TEST(AtMostOnceRegistry, keyRunsAtMostOnceForEverySchedule)
 {
     CHECK_TRUE(rc::check("key runs at most once", [] {
@@ -228,8 +228,8 @@
     }));
 }
 
-// Failure: a fix is assigned twice after a proxy was replaced.
-TEST(AtMostOnceRegistry, keyOfProcessThatIsGoneIsUnknownAndNotRun)
+// Guards against assigning a fix twice after a proxy was replaced.
+TEST(AtMostOnceRegistry, keyOfAReplacedProcessIsUnknownAndNotRun)
 {
     AtMostOnceRegistry before(1, Start, {}, noOtherMembers);
     const std::string key = toString(before.token(Start)) + "/fix-7";
@@ -240,7 +240,7 @@
                == AtMostOnceDecisionKind::Unknown);
 }
 
-// Failure: one request occupies two proxies until its deadline.
+// Guards against one request occupying two proxies until its deadline.
 TEST(AtMostOnceRegistry, forwardedKeyIsNeverForwardedAgain)
 {
     AtMostOnceRegistry restarted(2, Start, {}, [](Incarnation) {
@@ -254,8 +254,8 @@
     CHECK_TRUE(fromPeer.kind == AtMostOnceDecisionKind::Unknown);
 }
 
-// Failure: a repeat runs again after a quarter of an hour.
-TEST(AtMostOnceRegistry, repeatBehindTheTimeWindowIsUnknownAndNotRun)
+// Guards against a repeat running again after a quarter of an hour.
+TEST(AtMostOnceRegistry, repeatAfterTheTimeWindowIsUnknownAndNotRun)
 {
     const AtMostOnceSettings settings;
     AtMostOnceRegistry registry(1, Start, settings, noOtherMembers);
@@ -270,8 +270,8 @@
     CHECK_EQUAL(0, registry.size());
 }
 
-// Failure: one account fills the memory for years.
-TEST(AtMostOnceRegistry, tokenOfEpochToComeIsRefused)
+// Guards against one account filling the memory for years.
+TEST(AtMostOnceRegistry, tokenOfAFutureEpochIsRejected)
 {
     AtMostOnceRegistry registry(1, Start, {}, noOtherMembers);
     const std::string key = toString(IdempotencyToken { 1, 1'000'000 }) + "/k";
@@ -279,7 +279,7 @@
     CHECK_TRUE(decision.kind == AtMostOnceDecisionKind::KeyRequired);
 }
 
-TEST(AtMostOnceRegistry, keyOfOneAccountIsAnotherKeyForEveryOtherAccount)
+TEST(AtMostOnceRegistry, sameKeyOfAnotherAccountIsADifferentKey)
 {
     AtMostOnceRegistry registry(1, Start, {}, noOtherMembers);
     const std::string key = toString(registry.token(Start)) + "/booking";
@@ -289,8 +289,8 @@
                == AtMostOnceDecisionKind::Run);
 }
 
-// Two spellings of one key would be two runs.
-TEST(AtMostOnceRegistry, onlyTheSpellingThatWasHandedOutIsKey)
+// Two accepted spellings of one key could run twice.
+TEST(AtMostOnceRegistry, onlyTheIssuedSpellingOfAKeyIsAccepted)
 {
     const std::string token = toString(IdempotencyToken { 0xabc, 0x1f });
     STRCMP_EQUAL("0000000000000abc.1f", token.c_str());
--- a/src/policy/budgetloan.cpp
+++ b/src/policy/budgetloan.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// An answer takes a round trip between failure domains, a few milliseconds at most; after this time the question or its
-// answer was lost.
+// A response takes one round trip between failure domains, a few milliseconds at most. After this time the request or
+// its response is considered lost.
 constexpr Duration ResponseTimeout = Millis(50);
 
 } // namespace
--- a/src/policy/budgetloantest.cpp
+++ b/src/policy/budgetloantest.cpp
@@ -16,22 +16,22 @@
     BudgetLoan loan;
 };
 
-TEST(BudgetLoan, AsksOneAtATimeUntilTheAnswerIsOverdue)
+TEST(BudgetLoan, SendsOneRequestAtATimeUntilTheResponseIsOverdue)
 {
     CHECK(loan.ask(Start).has_value());
     CHECK_FALSE(loan.ask(Start + Millis(10)).has_value());
     CHECK(loan.ask(Start + Millis(60)).has_value());
 }
 
-TEST(BudgetLoan, AnswerCountsOnce)
+TEST(BudgetLoan, ResponseCountsOnce)
 {
     const std::uint64_t number = *loan.ask(Start);
     CHECK(*loan.accept(number, Start + Millis(2)) == Start + LoanLifetime);
     CHECK_FALSE(loan.accept(number, Start + Millis(3)).has_value());
 }
 
-// Failure: the fleet exceeds its budget while the network is disturbed.
-TEST(BudgetLoan, AnswerThatComesLateOrToAnEarlierQuestionDoesNotCount)
+// Guards against the fleet exceeding its budget when the network delays or reorders responses.
+TEST(BudgetLoan, LateResponseOrResponseToAnEarlierRequestIsIgnored)
 {
     const std::uint64_t late = *loan.ask(Start);
     CHECK_FALSE(loan.accept(late, Start + LoanLifetime).has_value());
--- a/src/policy/calleridentitytest.cpp
+++ b/src/policy/calleridentitytest.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP(CallerIdentity) {};
 
-TEST(CallerIdentity, accountReachesToTheLastDot)
+TEST(CallerIdentity, accountNameExtendsToTheLastDot)
 {
     const auto identity = parseAuthorization("Bearer member.shops.s3cret");
     CHECK_TRUE(identity.has_value());
@@ -16,7 +16,7 @@
     CHECK_TRUE(identity->secret == "s3cret");
 }
 
-TEST(CallerIdentity, otherFormsAreNoIdentity)
+TEST(CallerIdentity, malformedAuthorizationIsRejected)
 {
     for (const char *value : { "", "Bearer ", "Basic a.b", "Bearer nodot", "Bearer .s", "Bearer a.", "Bearer a b.c" }) {
         CHECK_FALSE_TEXT(parseAuthorization(value).has_value(), value);
@@ -24,13 +24,13 @@
     CHECK_FALSE(parseAuthorization("Bearer a." + std::string(1'000, 's')).has_value());
 }
 
-TEST(CallerIdentity, onlyTheSecretOfTheDigestMatches)
+TEST(CallerIdentity, secretMatchesOnlyItsOwnDigest)
 {
     const SecretDigest digest = digestOf("s3cret");
     CHECK_TRUE(secretMatches("s3cret", digest));
     CHECK_FALSE(secretMatches("s3creT", digest));
     CHECK_FALSE(secretMatches("", digest));
-    // The digest of nothing, as every SHA-256 gives it, begins with these bytes.
+    // The SHA-256 digest of the empty string begins with these bytes.
     CHECK_EQUAL(0xe3, digestOf("")[0]);
     CHECK_EQUAL(0xb0, digestOf("")[1]);
 }
--- a/src/policy/callerspagetest.cpp
+++ b/src/policy/callerspagetest.cpp
@@ -31,7 +31,7 @@
 
 TEST_GROUP(CallersPage) {};
 
-TEST(CallersPage, printsTheRowOfEveryErrorKind)
+TEST(CallersPage, containsTheRowOfEveryErrorKind)
 {
     const std::string page = callersPage();
     std::size_t last = 0;
--- a/src/policy/costmodel.cpp
+++ b/src/policy/costmodel.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// What is typical has to be slow to change: a few huge requests that end together would else become the typical ones.
+// The typical cost must change slowly. Otherwise a few very large requests that end together would define it.
 constexpr double TypicalGain = 0.001;
 
 } // namespace
@@ -21,7 +21,7 @@
 {
 }
 
-// The cell of requests without a route comes first, so that a service without routes needs one cell only.
+// Requests without a route use the first cell, so that a service without routes needs one cell only.
 std::size_t CostModel::cell(std::uint16_t route)
 {
     return route == NoRoute ? 0 : std::size_t(route) + 1;
@@ -84,7 +84,7 @@
     }
 }
 
-// The first samples count as a plain mean: a moving average would hold on to whichever came first.
+// The first samples are averaged with equal weight. A moving average would depend too long on the first sample.
 void CostModel::update(Average &average, double value, double gain)
 {
     const auto maxSamples = static_cast<float>(1 / gain);
--- a/src/policy/costmodeltest.cpp
+++ b/src/policy/costmodeltest.cpp
@@ -14,7 +14,7 @@
 
 TEST_GROUP(CostModel) {};
 
-TEST(CostModel, newAccountIsEstimatedByItsRouteAndSoonByItself)
+TEST(CostModel, newAccountIsEstimatedByItsRouteThenByItsOwnSamples)
 {
     CostModel model(CostModelSettings {});
     for (int request = 0; request < 50; ++request) {
@@ -30,8 +30,8 @@
     CHECK_TRUE(model.estimate(0, Reads) < Millis(100));
 }
 
-// Failure: for some seconds, downloads may take every slot of a service of small reads.
-TEST(CostModel, fewHugeRequestsDoNotBecomeTheTypicalOnes)
+// Guards against downloads taking every slot of a service of small reads for some seconds.
+TEST(CostModel, fewLargeRequestsHardlyRaiseTheTypicalCost)
 {
     CostModel model(CostModelSettings {});
     for (int request = 0; request < 2'000; ++request) {
--- a/src/policy/deadline.cpp
+++ b/src/policy/deadline.cpp
@@ -9,7 +9,7 @@
 namespace internal
 {
 
-// A day: values beyond it are capped before they are multiplied into nanoseconds, where they would overflow.
+// One day. Larger values are capped before the conversion to nanoseconds, which would overflow.
 constexpr std::uint64_t MaxDeadlineMs = 24ULL * 60 * 60 * 1'000;
 
 } // namespace internal
--- a/src/policy/deadlinetest.cpp
+++ b/src/policy/deadlinetest.cpp
@@ -25,15 +25,15 @@
     CHECK_TRUE(given("18446744073709551615") == Route {}.timeout);
 }
 
-TEST(Deadline, valueThatIsNoPositiveWholeNumberIsRefused)
+TEST(Deadline, valueOtherThanPositiveWholeNumberIsRejected)
 {
     for (const char *value : { "0", "-1", "+5", "1.5", "5 ", "soon", "99999999999999999999" }) {
         CHECK_FALSE_TEXT(deadlineFor(value, Route {}, Arrived).has_value(), value);
     }
 }
 
-// Failure: a target goes on with work whose caller has left.
-TEST(Deadline, targetIsToldOfNoMoreTimeThanThereIs)
+// Guards against a target working on a request whose caller has already left.
+TEST(Deadline, targetGetsTheRemainingTimeRoundedDown)
 {
     const Deadline deadline(Arrived, Millis(100));
     STRCMP_EQUAL("99", deadline.forTarget(Arrived + std::chrono::microseconds(1)).c_str());
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -14,16 +14,16 @@
 namespace internal
 {
 
-// A request may be expected to run for at most this part of the time that it has left. Without this bound a spell of
-// slow answers would raise the estimate above every request's time limit; then all would be refused on arrival, none
-// would run, and the estimate could never come down again.
+// Upper bound of a request's expected run time, as a share of the time that it has left. Without this bound a period of
+// slow responses would raise the estimate above every request's time limit. All requests would then be rejected on
+// arrival, none would run, and the estimate could never decrease.
 constexpr double MaxExpectedRunShare = 0.5;
 
-// A request is started only if this many times its estimate is left. Half of all requests take longer than estimated;
-// slots spent on answers that come too late are lost for all.
+// A request is started only if this many times its estimate is left. Half of all requests take longer than estimated,
+// and a slot spent on a response that arrives too late is lost for all accounts.
 constexpr int RunMargin = 2;
 
-// How far the answers of retryAfter() are spread, as a part of the wait.
+// Spread of the results of retryAfter(), as a share of the wait.
 constexpr double RetrySpread = 1.0;
 
 // Multiples of it, modulo 1, fill the unit interval evenly.
--- a/src/policy/fairqueueprivate.cpp
+++ b/src/policy/fairqueueprivate.cpp
@@ -8,19 +8,19 @@
 namespace
 {
 
-// A request is long if it is expected to cost this many times what is typical.
+// A request is long if its expected cost exceeds this many times the typical cost.
 constexpr double LongFactor = 8;
 
-// Part of the unused slots that long requests may hold beyond their account's own part.
+// Share of the unused slots that long requests may hold beyond their account's own share.
 constexpr double MaxBorrowedShare = 0.75;
 
-// Over which demand is smoothed to tell what slots are left unused.
+// Time constant, in seconds, for smoothing demand to determine unused slots.
 constexpr double DemandSmoothingSeconds = 2;
 
-// What a part of a slot is rounded by.
+// Tolerance for fractions of a slot.
 constexpr double SlotRounding = 0.5;
 
-// How soon a deferred account is looked at again.
+// Time until a deferred account is reconsidered.
 constexpr Duration DeferralTime = Millis(20);
 
 } // namespace
@@ -54,8 +54,8 @@
     account.offeredCost += static_cast<float>(toSeconds(estimate));
 }
 
-// Each account has its part of the whole by weight, so that a full queue of one never keeps another out. With n equal
-// accounts filling up one after the other, the sum stays below totalQueue * (1 + 1/2 + ... + 1/n).
+// Each account's share of the queue follows its weight, so that a full queue of one account never keeps another out.
+// With n equal accounts filling up one after the other, the sum stays below totalQueue * (1 + 1/2 + ... + 1/n).
 std::uint32_t FairQueue::Private::queueBound(const QueueAccount &account) const
 {
     const double weights = activeWeight + (account.active() ? 0 : account.weight);
@@ -64,14 +64,15 @@
     return account.queueLimit == 0 ? bound : std::min(bound, account.queueLimit);
 }
 
-// While anything waits, every slot that this process can have is taken, so that the running requests are the capacity.
+// While requests wait, every slot available to this process is taken, so the number of running requests is the
+// capacity.
 double FairQueue::Private::slots() const
 {
     return capacity > 0 ? capacity : std::max(static_cast<double>(running.size()), 1.0);
 }
 
-// A new request starts when the virtual time reaches its start tag, or earlier when the accounts before it run out of
-// requests: never after all the work that waits now, unless others arrive and go first.
+// A new request starts when the virtual time reaches its start tag, or earlier if the accounts before it run out of
+// requests. It starts no later than after all currently waiting work, unless requests that arrive later go first.
 Duration FairQueue::Private::expectedWait(const QueueAccount &account) const
 {
     if (waiting.empty()) {
@@ -94,7 +95,7 @@
     if (account.inFlightLimit == AdmitNone) {
         return ErrorKind::InFlightLimited;
     }
-    // With no share of the queue's limit a request may still pass through, if nothing waits before it.
+    // Without a share of the queue limit a request may still start if no request waits before it.
     const bool full = account.queueLimit == AdmitNone ? !waiting.empty() : account.queued >= queueBound(account);
     if (full) {
         return inFlightFull ? ErrorKind::InFlightLimited : ErrorKind::QueueFull;
@@ -110,16 +111,17 @@
     virtualTime = std::max(virtualTime, reached);
 }
 
-// Nobody waits for anybody: whatever was used until now was free for the taking. All start level again; an account that
-// filled an idle service with long downloads would else be shut out for as long once others come.
+// Resets all accounts to the same virtual time when none waits for another, since usage of idle capacity costs no other
+// account anything. Otherwise an account that filled an idle service with long downloads would be shut out for equally
+// long once others arrive.
 void FairQueue::Private::resetVirtualTimes()
 {
     advanceVirtualTime(largestVirtualTime);
     ++epoch;
 }
 
-// Charges a running request, or gives back what it was charged too much. What was forgiven is not given back: that
-// would let the account go before all others for as long as its forgiven charges were.
+// Charges a running request, or refunds an excess charge. Charges of earlier epochs aren't refunded: a refund would let
+// the account go before all others for as long as those charges lasted.
 void FairQueue::Private::chargeRequest(QueueRequest &request, Duration more)
 {
     if (request.epoch != epoch) {
@@ -135,7 +137,7 @@
     }
 }
 
-// Lets the account compete if it may start something, and takes it out of the order if not.
+// Adds the account to the order if it may start a request, and removes it otherwise.
 void FairQueue::Private::reorder(QueueAccount &account)
 {
     if (account.mayStart() == account.orderHook.is_linked()) {
@@ -145,7 +147,7 @@
         removeFromOrder(account);
         return;
     }
-    // Begins to compete: time spent idle, or held back by its own limit, earns nothing.
+    // The account begins to compete. Time spent idle, or held back by its own limit, earns no credit.
     account.virtualTime = std::max(account.virtualTime, virtualTime);
     largestVirtualTime = std::max(largestVirtualTime, account.virtualTime);
     orderedWeight += account.weight;
@@ -174,8 +176,8 @@
     }
 }
 
-// A request that runs longer than it was charged for is charged as much again. Charging only at its end would let an
-// account that sends few huge requests take slot after slot while it still looks cheap.
+// Charges a request that runs longer than it was charged for as much again. Charging only at its end would let an
+// account that sends few very large requests take slot after slot while it still appears cheap.
 void FairQueue::Private::chargeOverruns(Instant now)
 {
     while (!running.empty() && running.begin()->chargedUntil() <= now) {
@@ -190,7 +192,7 @@
     }
 }
 
-// To be called after an account's last request may have left.
+// Must be called after an account's last request may have left.
 void FairQueue::Private::deactivateIfIdle(QueueAccount &account)
 {
     if (!account.countedActive || account.active()) {
@@ -198,7 +200,7 @@
     }
     account.countedActive = false;
     --activeAccounts;
-    // Set to zero rather than computed: rounding would otherwise add up over days.
+    // Set to zero rather than computed. Floating-point errors would otherwise accumulate within days.
     activeWeight = activeAccounts == 0 ? 0 : activeWeight - account.weight;
 }
 
@@ -225,7 +227,7 @@
     reorder(account);
 }
 
-// Takes over a changed rate limit at the first request after the change, which brings the time along.
+// Applies a changed rate limit at the first request after the change, which provides the current time.
 void FairQueue::Private::applyRateLimit(QueueAccount &account, Instant now) const
 {
     if (account.rateApplied != account.rateLimit) {
@@ -245,16 +247,16 @@
     account.waitingCost = account.queued == 0 ? 0 : account.waitingCost - seconds;
 }
 
-// Long requests can't be put off once they run. Without a bound, they would take every slot that is free for a moment
-// and keep it: after a while short requests would find only as many slots as they need on average, and wait for long
-// whenever they need a few more. So an account may hold its own part of the slots with long requests, and only a part
-// of what the others leave unused over time.
+// Long requests can't be interrupted once they run. Without a bound they would take and keep every slot that is briefly
+// free. Short requests would then find only as many slots as they need on average, and would wait long whenever they
+// need a few more. So an account may hold its own share of the slots with long requests, and only a part of the slots
+// that the others leave unused on average.
 bool FairQueue::Private::roomForLong(const QueueAccount &account) const
 {
     if (capacity <= 0) {
         return true;
     }
-    // The account's own weight is in recentWeight by as much as it was active itself.
+    // recentWeight contains the account's own weight in proportion to the time for which it was active.
     const double active = toSeconds(demandSmoothedAt - account.activeSince);
     const double ownRecentWeight =
         account.weight * std::max(active, 0.0) / (std::max(active, 0.0) + DemandSmoothingSeconds);
@@ -275,15 +277,15 @@
     return toSeconds(currentEstimate(request)) > LongFactor * toSeconds(typical);
 }
 
-// What the request is expected to cost by what was learnt while it waited.
+// Returns the expected cost of the request, including what was learned while it waited.
 Duration FairQueue::Private::currentEstimate(const QueueRequest &request) const
 {
     return cost.estimate(request.account->index, request.route);
 }
 
-// Follows what the accounts want over time. What waits is counted as well as what runs: once long requests have taken
-// too much, few short ones can run, and their slots would seem to be unused. A moment in which nobody else asks for
-// anything must not count either.
+// Smooths the demand of the accounts. Waiting requests are counted as well as running ones: once long requests have
+// taken too many slots, few short ones can run, and their slots would appear unused. Smoothing also keeps a short
+// moment without demand from other accounts from counting fully.
 void FairQueue::Private::smoothDemand(Instant now)
 {
     const double elapsed = std::max(toSeconds(now - demandSmoothedAt), 0.0);
@@ -294,7 +296,7 @@
     demandSmoothedAt = std::max(now, demandSmoothedAt);
 }
 
-// Takes an account out of the order until one of its requests ends or some time has passed.
+// Removes an account from the order until one of its requests ends or some time has passed.
 void FairQueue::Private::deferAccount(QueueAccount &account, Instant now)
 {
     if (deferred.empty()) {
@@ -348,7 +350,7 @@
     account.weight = weight;
 }
 
-// Moves the waiting requests that can't make their deadline any more to `shed`.
+// Moves the waiting requests that can no longer meet their deadline to `shed`.
 void FairQueue::Private::shedLate(Instant now)
 {
     while (!waiting.empty() && waiting.begin()->latestStart <= now) {
--- a/src/policy/fairqueueprivate.h
+++ b/src/policy/fairqueueprivate.h
@@ -11,7 +11,7 @@
 #include "mulberryplank/policy/ratelimit.h"
 #include "mulberryplank/policy/targethealth.h"
 
-// The records of FairQueue and the orders that they stand in. Included by the sources of FairQueue only.
+// Internal records of FairQueue and their orderings. Included only by the sources of FairQueue.
 namespace mulberryplank::internal
 {
 
@@ -26,16 +26,16 @@
     std::uint16_t route = NoRoute;
     bool running = false;
     bool isLong = false; // of a running request: expected to hold its slot for many times the typical cost
-    Duration estimate {}; // when it arrived
-    Duration charged {}; // of a running request: slot-time that its account was charged so far
-    Duration chargedInEpoch {}; // the part of it that was not forgiven
-    std::uint64_t epoch = 0; // that chargedInEpoch belongs to
+    Duration estimate {}; // at arrival
+    Duration charged {}; // of a running request: slot-time charged to its account so far
+    Duration chargedInEpoch {}; // the part charged in the current epoch
+    std::uint64_t epoch = 0; // epoch of chargedInEpoch
     Instant started {};
-    Instant latestStart {}; // of a waiting request: started later it would miss its deadline
+    Instant latestStart {}; // of a waiting request: if started later, it would miss its deadline
     ListHook fifoHook; // waiting: in its account's queue
     TreeHook timeHook; // waiting: by latestStart; running: by chargedUntil()
 
-    // Returns when a running request has used up what was charged for it.
+    // Returns when a running request has used up its charge.
     Instant chargedUntil() const
     {
         return started + charged;
@@ -80,26 +80,26 @@
     std::uint32_t queueLimit = 0; // 0: none
     bool countedActive = false;
     Instant activeSince {};
-    double rateLimit = 0; // as set
-    double rateApplied = 0; // as in force in `rate`
+    double rateLimit = 0; // configured
+    double rateApplied = 0; // applied to `rate`
     TokenBucket rate;
-    std::uint32_t offered = 0; // since demand was taken
-    float offeredCost = 0; // seconds of slot-time, since demand was taken
+    std::uint32_t offered = 0; // since demand was last taken
+    float offeredCost = 0; // seconds of slot-time, since demand was last taken
     std::uint64_t started = 0;
     Duration used {};
     Refusals refused;
     RequestFifo fifo;
-    TreeHook orderHook; // waits and may go next
+    TreeHook orderHook; // waiting and eligible to start
     ListHook demandHook; // has demand to report
-    ListHook deferralHook; // next to start is a long request, for which there is no room
+    ListHook deferralHook; // next request is a long one, for which there is no room
 
-    // Returns true if the account has anything running or waiting.
+    // Returns true if the account has any running or waiting requests.
     bool active() const
     {
         return queued > 0 || running > 0;
     }
 
-    // Returns the demand since it was taken last, `seconds` ago, and begins anew.
+    // Returns the demand of the last `seconds` and resets it.
     AccountDemand takeDemand(double seconds)
     {
         AccountDemand demand;
@@ -202,23 +202,23 @@
     Duration fleetTypicalCost {};
     double virtualTime = 0; // of the request started last
     double largestVirtualTime = 0;
-    std::uint64_t epoch = 0; // counts how often all were put level
+    std::uint64_t epoch = 0; // number of calls of resetVirtualTimes()
     double orderedWeight = 0; // of the accounts in `order`
-    double activeWeight = 0; // of the accounts that run or wait
+    double activeWeight = 0; // of the accounts with running or waiting requests
     double waitingCost = 0; // seconds of slot-time, estimated
     std::size_t activeAccounts = 0;
     Instant demandTakenAt {};
     std::deque<internal::QueueAccount> accounts; // by index; grows without moving its elements
     std::unordered_map<RequestId, internal::QueueRequest> requests;
-    std::vector<RequestId> shed; // no longer waiting, and not yet returned by expired()
-    internal::AccountOrder order; // accounts that may go next
+    std::vector<RequestId> shed; // no longer waiting, not yet returned by expired()
+    internal::AccountOrder order; // accounts eligible to start a request
     internal::WaitingRequests waiting;
     internal::RunningRequests running;
     internal::AccountsWithDemand accountsWithDemand;
     internal::DeferredAccounts deferred;
     Instant deferralEndsAt {};
     std::size_t longRunning = 0;
-    double shortWanted = 0; // smoothed number of requests that are not long: those running, and accounts that wait
+    double shortWanted = 0; // smoothed number of running requests that aren't long, plus waiting accounts
     double recentWeight = 0; // smoothed activeWeight
     Instant demandSmoothedAt {};
 };
--- a/src/policy/fairqueuetest.cpp
+++ b/src/policy/fairqueuetest.cpp
@@ -19,7 +19,7 @@
 const Instant Start = Instant {} + Seconds(1'000);
 const Instant Never = Start + Seconds(1'000'000);
 
-// Targets with a number of slots before one queue, on a virtual clock. Each account has its own service time.
+// Simulates targets with a number of slots behind one queue, on a virtual clock. Each account has its own service time.
 class SimulatedTargets
 {
 public:
@@ -29,7 +29,7 @@
     {
     }
 
-    // Starts requests while there is room.
+    // Starts requests while there are free slots.
     void startWaiting()
     {
         while (m_running.size() < m_slots) {
@@ -42,7 +42,7 @@
         }
     }
 
-    // Ends the request that ends first, and lets the clock reach that moment.
+    // Finishes the running request that ends first and advances the clock to that time.
     void finishNext()
     {
         const auto first = m_running.begin();
@@ -53,7 +53,7 @@
         served[accountOf(id)] += toSeconds(now - started);
     }
 
-    // Offers one more request of the account.
+    // Enqueues one more request of the account. Returns false if it was rejected.
     bool offer(AccountIndex account, Instant deadline = Never)
     {
         const RequestId id = (RequestId(account) << 32) + ++m_last;
@@ -76,7 +76,7 @@
     std::multimap<Instant, std::pair<RequestId, Instant>> m_running;
 };
 
-// Keeps at minWeight one request of each account waiting until `until`.
+// Keeps one or more requests of each account waiting until `until`.
 void runBacklogged(SimulatedTargets &targets, const std::vector<AccountIndex> &accounts, Instant until)
 {
     while (targets.now < until) {
@@ -106,7 +106,7 @@
         double minWeight = 1'000;
         for (AccountIndex account = 0; account < count; ++account) {
             const auto weight = *rc::gen::inRange<std::uint32_t>(1, 8);
-            targets.cost[account] = Millis(*rc::gen::inRange(1, 400)); // some costs lie far from the first estimate
+            targets.cost[account] = Millis(*rc::gen::inRange(1, 400)); // some costs are far from the initial estimate
             maxCost = std::max(maxCost, toSeconds(targets.cost[account]));
             minWeight = std::min(minWeight, static_cast<double>(weight));
             weights.push_back(weight);
@@ -121,13 +121,13 @@
             lowest = std::min(lowest, perWeight);
             highest = std::max(highest, perWeight);
         }
-        // At each end of the interval an account may be off by what it runs, and by one overrun's charge.
+        // At each end of the interval an account may be off by its running requests and by one overrun charge.
         const double bound = 2 * (static_cast<double>(slots) + 2) * maxCost / minWeight;
         RC_ASSERT(highest - lowest <= bound);
     }));
 }
 
-TEST(FairQueue, idleAccountComesBackWithNeitherCreditNorDebt)
+TEST(FairQueue, idleTimeGivesAnAccountNeitherCreditNorDebt)
 {
     SimulatedTargets targets(4);
     for (const AccountIndex account : { 0U, 1U, 2U }) {
@@ -143,8 +143,8 @@
     }
 }
 
-// Failure: an account that had the service to itself gets nothing for minutes once a second one arrives.
-TEST(FairQueue, useOfAnIdleServiceIsNotHeldAgainstAnAccount)
+// Guards against an account that had the service to itself getting no slots for minutes once a second account arrives.
+TEST(FairQueue, usageOfAnIdleServiceDoesNotCountLater)
 {
     SimulatedTargets targets(4);
     targets.queue.setAccount(0, 1, {});
@@ -165,21 +165,21 @@
     DOUBLES_EQUAL(20, targets.served[1], 0.5);
 }
 
-// Failure: an account with few huge requests holds almost every slot although another one waits.
-TEST(FairQueue, hugeRequestsAreChargedWhileTheyRun)
+// Guards against an account with few very large requests holding almost every slot while another account waits.
+TEST(FairQueue, longRequestsAreChargedWhileTheyRun)
 {
     SimulatedTargets targets(8);
     targets.queue.setAccount(0, 1, {});
     targets.queue.setAccount(1, 1, {});
     targets.cost[0] = Seconds(30);
     targets.cost[1] = Millis(25);
-    runBacklogged(targets, { 0, 1 }, Start + Seconds(25)); // none of the huge ones has ended yet
+    runBacklogged(targets, { 0, 1 }, Start + Seconds(25)); // none of the large requests has ended yet
     CHECK_TRUE(targets.queue.usage(0).running <= 5);
     CHECK_TRUE(targets.served[1] >= 0.99 * 25 * 3);
 }
 
-// Failure: small reads wait for seconds although their account uses less than its part.
-TEST(FairQueue, longRequestsLeaveSlotsThatShortOnesUseOverTime)
+// Guards against small reads waiting for seconds although their account uses less than its share.
+TEST(FairQueue, longRequestsLeaveSlotsThatShortOnesUseOnAverage)
 {
     SimulatedTargets targets(10);
     targets.queue.setCapacity(10);
@@ -188,12 +188,12 @@
     }
     targets.cost[0] = Seconds(20);
     targets.cost[1] = Millis(20);
-    targets.offer(0); // teaches the queue what a download costs
+    targets.offer(0); // lets the queue learn the cost of a download
     targets.startWaiting();
     targets.finishNext();
     runBacklogged(targets, { 1 }, targets.now + Seconds(5));
     while (targets.queue.running() > 0) {
-        targets.finishNext(); // account 1 pauses
+        targets.finishNext(); // account 1 becomes idle
     }
     for (int request = 0; request < 20; ++request) {
         targets.offer(0);
@@ -202,7 +202,7 @@
     LONGS_EQUAL(5, targets.queue.usage(0).running); // its half of the slots
 }
 
-TEST(FairQueue, requestsAreEitherStartedOrRefusedNeverBoth)
+TEST(FairQueue, acceptedRequestsAreStartedShedOrCancelledExactlyOnce)
 {
     CHECK_TRUE(rc::check("every accepted request is started, shed or cancelled exactly once", [] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -267,7 +267,7 @@
     }));
 }
 
-TEST(FairQueue, limitsHoldWhateverArrives)
+TEST(FairQueue, limitsHoldForAnyArrivals)
 {
     CHECK_TRUE(rc::check("requests in flight and waiting stay within the limits", [] {
         const auto inFlight = *rc::gen::inRange<std::uint32_t>(1, 6);
@@ -290,8 +290,9 @@
     }));
 }
 
-// Failure: after a spell of slow answers every request is refused, for good, although the targets are well again.
-TEST(FairQueue, slowSpellDoesNotRefuseEverythingAfterwards)
+// Guards against rejecting every request permanently after a period of slow responses, although the targets are healthy
+// again.
+TEST(FairQueue, requestsAreAcceptedAfterAPeriodOfSlowResponses)
 {
     SimulatedTargets targets(1);
     targets.queue.setAccount(0, 1, {});
@@ -305,7 +306,7 @@
     CHECK_TRUE(targets.queue.next(targets.now).has_value());
 }
 
-TEST(FairQueue, requestThatCannotBeStartedInTimeIsRefusedOnArrivalOrShedBeforeItsDeadline)
+TEST(FairQueue, requestThatCannotStartInTimeIsRejectedOnArrivalOrShedBeforeItsDeadline)
 {
     SimulatedTargets targets(1);
     targets.queue.setAccount(0, 1, {});
@@ -315,18 +316,18 @@
     for (int request = 0; request < 8; ++request) {
         CHECK_TRUE(targets.offer(0));
     }
-    // 8 requests of 25 ms wait before one slot.
+    // 8 requests of 25 ms wait for one slot.
     CHECK_FALSE(targets.offer(0, targets.now + Millis(150)));
     LONGS_EQUAL(1, targets.queue.usage(0).refused.deadlineBeforeStart);
     CHECK_TRUE(targets.queue.retryAfter(0, targets.now) >= Millis(150));
-    // This one might have made it, if the running one had ended in time.
+    // This request could have started in time if the running one had ended.
     CHECK_TRUE(targets.offer(0, targets.now + Millis(300)));
     targets.now += Millis(290);
     LONGS_EQUAL(1, targets.queue.expired(targets.now).size());
     LONGS_EQUAL(1, targets.queue.usage(0).refused.expired);
 }
 
-TEST(FairQueue, rateLimitHoldsOverAnySecondAndSaysWhenToComeAgain)
+TEST(FairQueue, rateLimitHoldsForASecondAndGivesARetryDelay)
 {
     SimulatedTargets targets(1'000);
     targets.queue.setAccount(0, 1, Limits { 100, 0, 0 });
--- a/src/policy/fleetclaims.cpp
+++ b/src/policy/fleetclaims.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// How FleetShares gives up, lowers, raises and confirms claims.
+// How FleetShares releases, lowers, raises and confirms claims.
 namespace mulberryplank
 {
 
@@ -11,10 +11,11 @@
 namespace
 {
 
-// A claim is moved only if it is off by more than this part of what is wanted: demand never stands quite still.
+// A claim is adjusted only if it differs from the wanted amount by more than this fraction, since demand always
+// fluctuates.
 constexpr double ClaimTolerance = 0.02;
 
-// Rounding must not refuse claims that add up exactly.
+// Tolerates rounding errors, so that claims that add up exactly aren't rejected.
 constexpr double SumTolerance = 1e-9;
 
 constexpr auto RateKind = static_cast<std::size_t>(LimitKind::RequestsPerSecond);
@@ -41,8 +42,8 @@
     contentChanged = true;
 }
 
-// Begins to claim even parts of all accounts in the next report. Accounts that others name already are named with no
-// claim, from where they follow demand.
+// Begins to claim even parts of all accounts in the next report. Accounts that others name already start without a
+// claim and follow demand from there.
 void FleetShares::Private::claimEvenParts(Instant now)
 {
     const bool possible = peers.isMember(settings.self) && !peers.markedUnresponsiveByPeer(now);
@@ -57,7 +58,8 @@
     contentChanged = true;
 }
 
-// Returns the account's entry, made if need be from what the account may use unnamed; nullptr if reports are full.
+// Returns the account's entry. Creates it if necessary from what the account may use unnamed. Returns nullptr if
+// reports are full.
 NamedAccount *FleetShares::Private::name(AccountIndex index)
 {
     const auto found = named.find(index);
@@ -84,7 +86,7 @@
 {
     for (const auto &[account, report] : peer.accounts) {
         const auto index = indexes.find(account);
-        // While even parts are being claimed, what others hold of any account has to be checked for it by name.
+        // While even parts are being claimed, the claims of others on any account must be compared by name.
         const bool matters = evenPartsSequence != 0 || isWanted(report);
         if (index != indexes.end() && matters) {
             name(index->second);
@@ -101,7 +103,7 @@
     }
 }
 
-// Lowers a claim at once, or raises it for the others to acknowledge.
+// Lowers a claim at once, or raises it for the other members to acknowledge.
 void FleetShares::Private::adjustClaim(AccountIndex index, NamedAccount &account, std::size_t kind, Instant now)
 {
     const LimitParts split = parts(index, kind);
@@ -112,7 +114,7 @@
     double &usable = account.usable.at(kind);
     std::uint64_t &pending = account.claimSequence.at(kind);
     const double wanted = target(index, account, kind, split.pool);
-    // Requests in flight can't be taken back: the claim covers them until they end, while no new ones are let in.
+    // Requests in flight can't be revoked: the claim covers them until they end, while no new ones are admitted.
     const double needed = std::max(wanted, account.inUse.at(kind) - split.fixed);
     const double even = evenPart(kind, split.pool, peers.memberCount());
     const double tolerance = kind == RateKind && wanted > 0 ? ClaimTolerance * std::min(even, wanted) : 0;
@@ -125,7 +127,7 @@
     }
     const bool free = pending == 0;
     if (free) {
-        usable = std::max(usable, std::min(wanted, claimed)); // a claim that nobody contests any more
+        usable = std::max(usable, std::min(wanted, claimed)); // a claim that no other member contests any more
     }
     const double maxClaim = std::min(wanted, split.pool - othersClaims(index, kind, split.pool, now));
     if (free && maxClaim > claimed + tolerance) {
@@ -142,7 +144,7 @@
            });
 }
 
-// Uses raised claims once all have acknowledged them.
+// Uses raised claims once all members have acknowledged them.
 void FleetShares::Private::confirmClaims(Instant now)
 {
     if (!hasPendingClaims()) {
@@ -164,7 +166,7 @@
             }
         }
     }
-    // Accounts that others name and we don't, for lack of room, might be claimed beyond even parts.
+    // Accounts that others name and this process doesn't, for lack of room, might be claimed beyond even parts.
     const bool roomLeft = named.size() < settings.maxAccounts;
     if (evenPartsSequence != 0 && evenPartsSequence <= acknowledged && roomLeft && peers.evenPartIsFree(now)) {
         evenPartsSequence = 0;
@@ -172,7 +174,7 @@
     }
 }
 
-// Of two members that raised at once, each takes what the other one's claim leaves.
+// If two members raised a claim at the same time, each takes what the other's claim leaves.
 void FleetShares::Private::confirmClaim(AccountIndex index, NamedAccount &account, std::size_t kind, Instant now)
 {
     const double pool = parts(index, kind).pool;
@@ -187,7 +189,7 @@
     usable = claimed;
 }
 
-// Drops accounts that nobody asks for and whose claims are back at even parts.
+// Removes accounts without demand whose claims are back at even parts.
 void FleetShares::Private::forgetIdleAccounts()
 {
     std::erase_if(named, [this](const auto &entry) {
--- a/src/policy/fleetpeers.cpp
+++ b/src/policy/fleetpeers.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// A given-up peer is remembered for this many silences, so that it can't come back with its old claims.
+// A peer whose claims were released is kept for this many timeouts, so that it can't return with its old claims.
 constexpr int RememberedTimeouts = 10;
 
 bool isMajority(std::size_t part, std::size_t whole)
@@ -140,7 +140,7 @@
     }
     peer->lastReceived = now;
     if (!report.complete && report.contentSequence != peer->last.contentSequence) {
-        // The report that this one refers to was lost. Not acknowledging it makes the sender repeat all accounts.
+        // The report that this one refers to was lost. Without an acknowledgement the sender repeats all accounts.
         return nullptr;
     }
     peer->receivedSequence = report.sequence;
@@ -192,9 +192,9 @@
     updateSettledMembers(now);
 }
 
-// A part of the fleet that lost sight of the others would soon find itself the majority of the members that it still
-// knows. So a new list of members counts only once a majority of the earlier one was peerStatus as well, or after a
-// grace that is longer than most partitions.
+// A partition that has lost the others would soon find itself the majority of the members that it still knows. So a new
+// list of members counts only once a majority of the earlier one was reachable as well, or after a grace period that is
+// longer than nearly all partitions.
 void FleetPeers::updateSettledMembers(Instant now)
 {
     const bool overlaps = m_settledMembers.empty() || receivesFromMajority(m_settledMembers, now);
@@ -222,8 +222,8 @@
            && peer.lastReceived + m_settings.lease > now;
 }
 
-// Each VM has one voice, that of its newest process: a predecessor that was only paused must not make up a majority
-// together with its own successor.
+// Each VM counts once, with its newest process. A predecessor that was only paused must not form a majority together
+// with its own successor.
 bool FleetPeers::isNewestProcessOf(const FleetPeer &peer, const VmName &vm) const
 {
     return peer.vm == vm && std::none_of(m_peers.begin(), m_peers.end(), [&peer](const FleetPeer &other) {
@@ -268,7 +268,7 @@
             ends.push_back(std::min(peer.acknowledgedSentAt, peer.lastReceived) + m_settings.lease);
         }
     }
-    const std::size_t needed = m_members.size() / 2; // besides ourselves
+    const std::size_t needed = m_members.size() / 2; // besides this process
     if (ends.size() < needed) {
         return Instant {};
     }
@@ -302,7 +302,8 @@
     return isMajority(confirmations, m_members.size());
 }
 
-// A process that has just started doesn't know of claims whose holders it can't hear, such as its own predecessor's.
+// A process that has just started doesn't know of claims whose holders it can't reach, such as those of its own
+// predecessor.
 bool FleetPeers::hasUnknownClaims(Instant now) const
 {
     const auto known = [this](const PeerStatus &entry) {
@@ -371,8 +372,8 @@
 
 std::vector<PeerStatus> FleetPeers::peerStatus(Instant now) const
 {
-    // Who receivesFromMajority no majority of the members that it was last sure of acknowledges nothing: the part of
-    // the fleet that it sees may be the smaller one.
+    // A process that reaches no majority of the last settled members acknowledges nothing, since it may be in the
+    // smaller partition.
     const bool mayAcknowledge = m_settledMembers.empty() || receivesFromMajority(m_settledMembers, now);
     std::vector<PeerStatus> entries;
     for (const FleetPeer &peer : m_peers) {
--- a/src/policy/fleetshares.cpp
+++ b/src/policy/fleetshares.cpp
@@ -13,13 +13,13 @@
 namespace
 {
 
-// What an unknown account may do; a rate of 0 would mean no limit.
+// Rate of an unknown account; a rate of 0 would mean no limit.
 constexpr double MinRate = 1e-6;
 
 constexpr double MinLocalWeight = 0.001;
 
-// What an account may come to want until the next report, as a factor: without this room, an account that uses less
-// than its part would queue at a proxy that has no other account to leave slots.
+// Factor by which an account's demand may grow until the next report. Without this room, an account that uses less than
+// its share would queue at a proxy that has no other account to leave slots to.
 constexpr double DemandRoom = 1.25;
 
 constexpr double CountTolerance = 1e-6;
@@ -38,7 +38,7 @@
     double granted = 0;
 };
 
-// Divides slots by weight among those who want them; what one doesn't want goes to the others.
+// Divides slots by weight among the accounts with demand. Slots that one account doesn't need go to the others.
 void divideSlots(std::vector<SlotDemand> &demands, double slots)
 {
     std::sort(demands.begin(), demands.end(), [](const SlotDemand &one, const SlotDemand &other) {
@@ -75,7 +75,7 @@
         m_d->releaseClaims();
     }
     if (m_d->evenPartsClaimed) {
-        // Even parts of fewer members are larger: the others have to agree on them anew.
+        // Even parts of fewer members are larger, so the other members must agree on them again.
         m_d->evenPartsSequence = m_d->sequence + 1;
     }
     m_d->contentChanged = true;
--- a/src/policy/fleetsharesprivate.cpp
+++ b/src/policy/fleetsharesprivate.cpp
@@ -14,14 +14,14 @@
 namespace
 {
 
-// Reported demand follows the real one in steps of this size. Each step makes all members report.
+// Step by which reported demand follows actual demand. Each step makes all members report.
 constexpr double DemandStep = 0.25;
 
-// Over which demand for a limit is smoothed. Short, since a limit has to follow its demand soon.
+// Time constant, in seconds, for smoothing demand for a limit. Short, since a limit must follow its demand quickly.
 constexpr double WantedSeconds = 1;
 
-// Over which slot-time is smoothed. A few requests a second would else look like nothing now and a multitude then, and
-// the account's weight at a proxy would fall just when it needs it.
+// Time constant, in seconds, for smoothing slot-time. A few requests per second would otherwise appear as nothing at
+// one moment and as many at the next, and the account's weight at a proxy would drop when it is needed.
 constexpr double SlotsSeconds = 4;
 
 // Smoothed demand below this counts as none.
@@ -34,7 +34,7 @@
     return std::abs(reported - now) > DemandStep * std::max(reported, now);
 }
 
-// Returns the part of a new observation in a demand smoothed interval `seconds`.
+// Returns the weight of a new observation in a demand smoothed with the time constant `seconds`.
 double gainOf(Duration interval, double seconds)
 {
     return 1 - std::exp(-toSeconds(interval) / seconds);
@@ -52,15 +52,15 @@
     return report.slots > 0 || report.wanted != ShareAmounts {};
 }
 
-// Fixed parts are cut for one member more than there are: a process that takes the place of another one begins with its
-// own while the other, perhaps only paused, may still use it.
+// Fixed parts are computed for one member more than there are. A process that replaces another one uses its own part
+// while its predecessor, perhaps only paused, may still use one.
 LimitParts partsOf(std::size_t kind, double limit, double fixedPart, std::uint32_t members)
 {
     const double count = std::max(members, 1U);
     if (kind == RateKind) {
         return { limit * fixedPart / (count + 1), limit * (1 - fixedPart) };
     }
-    // The pool doesn't depend on the number of members, about which members may differ for a while.
+    // The pool doesn't depend on the number of members, which members may disagree about for a while.
     const double pool = limit - std::floor(limit * fixedPart);
     return { std::floor((limit - pool) / (count + 1)), pool };
 }
@@ -99,10 +99,10 @@
     return sum;
 }
 
-// What this member should hold of a pool: the part that its demand is of all demand. Counts of requests are rounded by
-// largest remainder, in order of name where remainders are equal, so that all members come to the same numbers.
-// Parts go by demand; what nobody asked for is divided evenly. Were it left with those that have demand, a member where
-// the account turns up next would refuse it, far below its limit, until claims have moved.
+// Returns the amount of a pool that this member should hold: its share of the total demand. Counts of requests are
+// rounded by largest remainder, in order of name for equal remainders, so that all members compute the same numbers.
+// The pool beyond the total demand is divided evenly. If members with demand got all of it, a member where the account
+// next appears would reject its requests, far below its limit, until claims have been adjusted.
 double FleetShares::Private::target(AccountIndex index, const NamedAccount &own, std::size_t kind, double pool) const
 {
     const std::string &account = rows.at(index).account.value();
@@ -179,7 +179,7 @@
     account.inUse = { 0, static_cast<double>(demand.running), static_cast<double>(demand.queued) };
 }
 
-// Lets the reported demand follow the real one; returns true if it moved.
+// Updates the reported demand if it differs enough from the actual one. Returns true if it changed.
 bool FleetShares::Private::updateReported()
 {
     bool moved = false;
@@ -229,7 +229,7 @@
     return report;
 }
 
-// Follows a lowered limit: each member keeps the same part of the smaller pool.
+// Applies a lowered limit: each member keeps the same part of the smaller pool.
 void FleetShares::Private::rescale(AccountIndex index, const ShareAmounts &before, const ShareAmounts &after)
 {
     const auto found = named.find(index);
--- a/src/policy/fleetsharesprivate.h
+++ b/src/policy/fleetsharesprivate.h
@@ -8,7 +8,7 @@
 namespace mulberryplank::internal
 {
 
-// A limit of an account, divided into what is fixed and what is claimed.
+// A limit of an account, split into the fixed part and the claimable pool.
 struct LimitParts {
     double fixed = 0; // of one member
     double pool = 0; // of all members together
@@ -20,10 +20,10 @@
 // Returns the whole limits of a row by LimitKind.
 ShareAmounts limitsOf(const Row &row);
 
-// Returns true if the report tells of any demand.
+// Returns true if the report contains any demand.
 bool isWanted(const AccountReport &report);
 
-// An account that is named in our reports, since somebody has demand for it.
+// An account that is named in this process's reports, since some member has demand for it.
 struct NamedAccount {
     ShareAmounts wanted {}; // smoothed
     double slots = 0; // smoothed
@@ -32,7 +32,8 @@
     double reportedSlots = 0;
     ShareAmounts claimed {};
     ShareAmounts usable {};
-    std::array<std::uint64_t, LimitKinds> claimSequence {}; // of the report that first bore the claim; 0: none pending
+    std::array<std::uint64_t, LimitKinds>
+        claimSequence {}; // of the report that first contained the claim; 0: none pending
 };
 
 } // namespace mulberryplank::internal
@@ -85,9 +86,10 @@
     std::uint64_t contentSequence = 0; // of the last report that changed accounts
     bool contentChanged = true;
     bool evenPartsClaimed = false;
-    std::uint64_t evenPartsSequence = 0; // of the report that first claimed even parts of the present members; 0: none
-                                         // pending
-    std::uint32_t evenPartsUsable = 0; // of how many members the even parts in use are; 0: none in use
+    std::uint64_t evenPartsSequence =
+        0; // of the report that first claimed even parts of the present members; 0: none pending
+    std::uint32_t evenPartsUsable =
+        0; // number of members among which the even parts in use are divided; 0: none in use
     Instant next; // when the next report is due
 };
 
--- a/src/policy/fleetsharestest.cpp
+++ b/src/policy/fleetsharestest.cpp
@@ -34,7 +34,7 @@
     return local == AdmitNone ? 0 : local;
 }
 
-// One process, its demand, and whether it stands still.
+// One process, its demand, and until when it is paused.
 struct Process {
     VmName vm;
     Incarnation incarnation = 0;
@@ -45,7 +45,7 @@
 };
 
 struct Faults {
-    double loss = 0; // part of reports
+    double loss = 0; // fraction of reports
     Duration maxDelay = Millis(5);
     bool pauses = false;
     bool restarts = false;
@@ -130,7 +130,7 @@
         return sum;
     }
 
-    // Ends every process's pause and every cut.
+    // Ends all pauses and link failures.
     void heal()
     {
         m_blockedLinks.clear();
@@ -139,7 +139,7 @@
         }
     }
 
-    // Cuts the first `count` members off from the others, in both directions.
+    // Partitions the first `count` members from the others, in both directions.
     void partition(std::size_t count)
     {
         for (std::size_t one = 0; one < m_members.size(); ++one) {
@@ -151,7 +151,7 @@
         }
     }
 
-    // Tells one process that the members with indexes from `first` up to `end` carry the service.
+    // Sets the members of one process to those with indexes from `first` up to `end`.
     void setMembersOf(std::size_t process, std::size_t first, std::size_t end)
     {
         const std::vector<VmName> members(m_members.begin() + static_cast<std::ptrdiff_t>(first),
@@ -159,7 +159,7 @@
         processes[process].shares->setMembers(members, now);
     }
 
-    // Tells the same to just these members.
+    // Sets the members of the processes from `first` up to `end` to exactly these processes.
     void setMembersOfPart(std::size_t first, std::size_t end)
     {
         for (std::size_t index = first; index < end; ++index) {
@@ -167,7 +167,7 @@
         }
     }
 
-    // Runs and returns the maxSum sum of rates that occurred.
+    // Runs and returns the maximum sum of rates that occurred.
     double maxRateSum(Duration time)
     {
         double maxSum = 0;
@@ -253,7 +253,7 @@
         }
     }
 
-    // Starts another process in the place of one that is dead, or thought dead and only paused.
+    // Starts another process in place of one that is dead, or considered dead and only paused.
     void replace(Process &process)
     {
         const VmName vm = process.vm;
@@ -269,7 +269,7 @@
     Incarnation m_lastIncarnation = 0;
 };
 
-// Returns how far the sum may go: processes beyond one per member and one more each have a fixed part.
+// Returns the upper bound of the sum of rates. Each process beyond one per member and one more adds a fixed part.
 double maxAllowedRate(const Fleet &fleet, std::size_t members)
 {
     const auto count = static_cast<std::size_t>(
@@ -284,11 +284,11 @@
 
 TEST_GROUP(FleetShares) {};
 
-TEST(FleetShares, sumNeverPassesTheLimitWhateverIsLostDelayedPausedOrRestarted)
+TEST(FleetShares, sumNeverExceedsTheLimitUnderLossDelayPausesAndRestarts)
 {
     CHECK_TRUE(rc::check("sum of local limits within the fleet's", [] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-        // A member alone has nobody who could setMembersOf it of a predecessor that is only paused.
+        // A single member has no other that could report a predecessor that is only paused.
         const auto members = *rc::gen::inRange<std::size_t>(2, 7);
         Faults faults;
         faults.demandChanges = true;
@@ -306,7 +306,7 @@
     }));
 }
 
-TEST(FleetShares, sumStaysWithinTheLimitWhileMembersLearnOfOtherMembersAtDifferentTimes)
+TEST(FleetShares, sumStaysWithinTheLimitWhileMembersLearnOfMemberChangesAtDifferentTimes)
 {
     CHECK_TRUE(rc::check("no pool is used twice while the set of members changes", [] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -319,7 +319,7 @@
         std::size_t first = 0;
         std::size_t count = 7;
         std::vector<Instant> learnTimes(7, Start);
-        // Parts of fixed parts differ with the number of members; the pool must never be passed.
+        // Fixed parts differ with the number of members, but the pool must never be exceeded.
         const double maxRate = RateLimit * (1 + 0.05);
         for (int step = 0; step < 1'200; ++step) {
             if (step % 300 == 299) {
@@ -352,7 +352,7 @@
     CHECK_TRUE(countOf(fleet.limits(fleet.processes[2]).inFlight) >= 0.95 * InFlightLimit);
 }
 
-TEST(FleetShares, sharesComeBackOnceFaultsAreOver)
+TEST(FleetShares, sharesRecoverAfterFaultsEnd)
 {
     CHECK_TRUE(rc::check("at least 95% of a limit is usable 20 s after the last fault", [] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
@@ -368,8 +368,8 @@
     }));
 }
 
-// Failure: one member's crash leaves a part of every limit unused for good.
-TEST(FleetShares, claimsOfADeadMemberAreUsedByTheOthersAfterItsSilence)
+// Guards against a part of every limit staying unused permanently after the crash of one member.
+TEST(FleetShares, claimsOfADeadMemberAreUsedByTheOthersAfterTheSilenceTimeout)
 {
     Fleet fleet(1, 5);
     fleet.processes[0].demand = 2'000;
@@ -382,8 +382,8 @@
     CHECK_TRUE(fleet.limits(fleet.processes[1]).requestsPerSecond > 0.9 * RateLimit);
 }
 
-// Failure: while two parts of the fleet have lost each other, an account gets up to twice its limit.
-TEST(FleetShares, smallerPartOfAPartitionKeepsToItsFixedPart)
+// Guards against an account getting up to twice its limit during a partition of the fleet.
+TEST(FleetShares, smallerPartOfAPartitionUsesOnlyItsFixedPart)
 {
     Fleet fleet(1, 5);
     for (Process &process : fleet.processes) {
@@ -399,8 +399,9 @@
     CHECK_TRUE(fleet.rateSum() > 0.9 * RateLimit);
 }
 
-// Failure: a partition that lasts gives an account as many times its limit as there are parts.
-TEST(FleetShares, partsThatTakeThemselvesForTheWholeAreHeldBackForAGraceAndBoundedAfterIt)
+// Guards against each part of a partitioned fleet using the whole limit before the grace period has passed, or more
+// than once after it.
+TEST(FleetShares, partsWithTheirOwnMemberListsStayWithinTheLimitDuringTheGraceAndAreBoundedAfterIt)
 {
     Fleet fleet(1, 5);
     for (Process &process : fleet.processes) {
@@ -411,7 +412,7 @@
     fleet.run(Seconds(5), {});
     fleet.setMembersOfPart(0, 2);
     fleet.setMembersOfPart(2, 5);
-    const double fixedParts = 0.05 * RateLimit; // those of a smaller whole are larger
+    const double fixedParts = 0.05 * RateLimit; // those of fewer members are larger
     CHECK_TRUE(fleet.maxRateSum(Seconds(50)) <= RateLimit + fixedParts);
     const double later = fleet.maxRateSum(Seconds(60));
     CHECK_TRUE(later > 1.5 * RateLimit);
@@ -423,8 +424,8 @@
     CHECK_TRUE(fleet.rateSum() >= 0.95 * RateLimit);
 }
 
-// Failure: a process that wakes up after a long pause lets in a burst of requests beyond the limit.
-TEST(FleetShares, claimsEndWithTheLeaseEvenIfTheMemberDoesNothing)
+// Guards against a process admitting a burst of requests beyond the limit when it resumes after a long pause.
+TEST(FleetShares, claimsEndWithTheLeaseWithoutAnyCall)
 {
     Fleet fleet(1, 3);
     fleet.run(Seconds(5), {});
@@ -435,7 +436,7 @@
     CHECK_TRUE(shares.localLimits(TheAccount, end).inFlight == AdmitNone);
 }
 
-TEST(FleetShares, localWeightsAndCapacityFollowWhereAnAccountsDemandIs)
+TEST(FleetShares, localWeightsAndCapacityFollowTheMembersDemand)
 {
     FleetSharesSettings settings;
     settings.self = VmName("vm0");
@@ -446,7 +447,7 @@
     row.account = AccountName("farm");
     shares.setAccount(1, row);
     shares.setMembers({ VmName("vm0"), VmName("vm1") }, Start);
-    // "shop" comes to both members alike, "farm" to the other one only; each wants all of ten slots.
+    // "shop" has demand at both members alike, "farm" at the other one only; each wants all of ten slots.
     shares.observe({ { 0, Seconds(1), 0, 5, 0, 0, 0, 0 } });
     shares.report(Start);
     DemandReport report;
--- a/src/policy/ratelimit.cpp
+++ b/src/policy/ratelimit.cpp
@@ -8,7 +8,7 @@
 namespace internal
 {
 
-// Rounding must not turn an earned token into 0.9999999.
+// Tolerates rounding errors that make an earned token 0.9999999.
 constexpr double TokenTolerance = 1e-9;
 
 constexpr double MaxWaitSeconds = 3'600;
@@ -17,7 +17,7 @@
 
 void TokenBucket::setRate(double rate, double burst, Instant now)
 {
-    // A bucket that had no limit yet starts full: nothing has been used of the new one.
+    // A bucket that had no limit starts full, since none of the new limit has been used.
     m_tokens = m_rate <= 0 ? burst : std::min(tokensAt(now), burst);
     m_updated = now;
     m_rate = rate;
--- a/src/policy/retryallowanceshare.cpp
+++ b/src/policy/retryallowanceshare.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-// How long a new entry takes nothing: within it a restarted process has learnt of the other members, which takes about
-// a second in a fleet of a hundred.
+// Time for which a new ingress proxy takes nothing. Within it a restarted process has learned of the other members,
+// which takes about a second in a fleet of a hundred.
 constexpr Duration LearningTime = Seconds(2);
-// What a new entry may take of its share until a window has passed. With the tenth of the budget that is kept back, all
-// ingressProxies together stay within it even if all of them were restarted at once.
+// Fraction of its share that a new ingress proxy may take until a window has passed. With the tenth of the budget that
+// is kept in reserve, all ingress proxies together stay within the budget even if all of them were restarted at once.
 constexpr double EarlyShare = 0.1;
-// How long an entry that is no longer seen is still reckoned with: longer than the partitions that the platform's
-// operators expect to pass by themselves.
+// Time for which an ingress proxy that is no longer seen is still counted. Longer than the partitions that the
+// platform's operators expect to end without intervention.
 constexpr Duration MemoryTime = Seconds(60);
 
 } // namespace
--- a/src/policy/retryallowancesharetest.cpp
+++ b/src/policy/retryallowancesharetest.cpp
@@ -15,14 +15,14 @@
 
 TEST_GROUP(RetryAllowanceShare) {};
 
-TEST(RetryAllowanceShare, AnEntryOfLongStandingHasItsShare)
+TEST(RetryAllowanceShare, EstablishedIngressProxyHasItsShare)
 {
     RetryAllowanceShare share(Settings);
     share.update(IngressProxies, true, Start);
     DOUBLES_EQUAL(10, share.fixedAllowance(Start + Seconds(10)), 1e-9);
 }
 
-TEST(RetryAllowanceShare, WhoIsNoEntryHasNone)
+TEST(RetryAllowanceShare, ProxyThatIsNoIngressProxyHasNoShare)
 {
     RetryAllowanceShare share(Settings);
     share.update(IngressProxies, true, Start);
@@ -30,8 +30,8 @@
     DOUBLES_EQUAL(0, share.fixedAllowance(Start + Seconds(20)), 1e-9);
 }
 
-// Failure: a service gets more extra attempts within ten seconds than its budget allows, after all power was lost.
-TEST(RetryAllowanceShare, WhatHasJustStartedTakesATenthOfItsShareUntilAWindowHasPassed)
+// Guards against a service exceeding its retry budget within ten seconds after all processes lost power and restarted.
+TEST(RetryAllowanceShare, NewProcessTakesATenthOfItsShareUntilAWindowHasPassed)
 {
     RetryAllowanceShare share(Settings);
     share.update(1, true, Start);
@@ -42,8 +42,8 @@
     DOUBLES_EQUAL(10, share.fixedAllowance(Start + Seconds(10)), 1e-9);
 }
 
-// Failure: the fleet exceeds its budget while one VM is cut off from the others.
-TEST(RetryAllowanceShare, EntriesThatAreNoLongerSeenKeepTheirSharesForAMinute)
+// Guards against the fleet exceeding its budget while one VM is cut off from the others.
+TEST(RetryAllowanceShare, IngressProxiesThatAreNoLongerSeenKeepTheirSharesForAMinute)
 {
     RetryAllowanceShare share(Settings);
     share.update(IngressProxies, true, Start);
--- a/src/policy/retrybudget.cpp
+++ b/src/policy/retrybudget.cpp
@@ -18,7 +18,7 @@
 
 bool RetryBudget::trySpend()
 {
-    // Ten tenths add up to a little less than one in binary; without the tolerance the eleventh would be needed.
+    // Ten tenths add up to slightly less than one in binary. Without the tolerance an eleventh would be needed.
     constexpr double Tolerance = 1e-9;
     if (m_tokens < 1 - Tolerance) {
         return false;
--- a/src/policy/retrybudgettest.cpp
+++ b/src/policy/retrybudgettest.cpp
@@ -2,13 +2,13 @@
 
 #include <rapidcheck.h>
 
-#include <CppUTest/TestHarness.h> // redefines new, so it comes last
+#include <CppUTest/TestHarness.h> // redefines new, so it is included last
 
 using namespace mulberryplank;
 
 TEST_GROUP(RetryBudget) {};
 
-// Failure: an outage doubles the load on the targets that are left.
+// Guards against an outage doubling the load on the remaining targets.
 TEST(RetryBudget, extraAttemptsStayBelowTheirShareOfSuccesses)
 {
     CHECK_TRUE(rc::check("extra attempts are bounded", [](const std::vector<bool> &succeeds) {
@@ -28,7 +28,7 @@
     }));
 }
 
-TEST(RetryBudget, outageSpendsNoMoreThanWhatPiledUp)
+TEST(RetryBudget, outageSpendsNoMoreThanTheMaximumOfTokens)
 {
     RetryBudget budget;
     for (int success = 0; success < 10'000; ++success) {
--- a/src/policy/seqwindowtest.cpp
+++ b/src/policy/seqwindowtest.cpp
@@ -36,7 +36,7 @@
     }));
 }
 
-TEST(SequenceWindow, guardForgetsTheSenderUnheardFromForLongest)
+TEST(SequenceWindow, guardEvictsTheLeastRecentSender)
 {
     ReplayGuard guard(2);
     CHECK_TRUE(guard.accept(1, 1));
--- a/src/policy/targetdirectory.cpp
+++ b/src/policy/targetdirectory.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Of the latest changes, so many are told one by one: whoever has missed more gets the whole list.
+// Number of latest changes that are kept individually. A process that has missed more receives the whole list.
 constexpr std::size_t ChangesKept = 4'096;
 
 } // namespace
@@ -38,14 +38,14 @@
     ListedTarget &listed = found->second;
     const std::int64_t knownStart = listed.target.startedMillis;
     if (target.startedMillis > 0 && target.startedMillis < knownStart) {
-        return false; // an earlier start's record, read again
+        return false; // a record of an earlier start, read again
     }
     if (target.startedMillis > knownStart) {
         listed = ListedTarget { target, now, now + target.warmupLeft, std::nullopt };
         recordChange(target.id);
         return true;
     }
-    // A target that drains never goes back to work: a record that says so is an older one, read again.
+    // A draining target never returns to work, so a record that claims otherwise is an older one, read again.
     const bool older = target.sequence < listed.target.sequence || (listed.target.draining && !target.draining);
     const bool wasRemoved = listed.removedAt.has_value();
     listed.removedAt.reset();
--- a/src/policy/targetdirectorytest.cpp
+++ b/src/policy/targetdirectorytest.cpp
@@ -31,7 +31,7 @@
 
 TEST_GROUP(TargetDirectory) {};
 
-TEST(TargetDirectory, heartbeatIsNoChangeOfState)
+TEST(TargetDirectory, heartbeatDoesNotChangeTheState)
 {
     TargetDirectory directory(Grace);
     CHECK_TRUE(directory.announce(target("a", 1), Start));
@@ -39,7 +39,7 @@
     CHECK_TRUE(directory.announce(target("a", 3, true), Start + Seconds(2)));
 }
 
-TEST(TargetDirectory, removalCountsAtOnceWhileTheStoreIsWell)
+TEST(TargetDirectory, removalTakesEffectAtOnceWithoutAStoreOutage)
 {
     TargetDirectory directory(Grace);
     directory.announce(target("a", 1), Start);
@@ -47,8 +47,8 @@
     CHECK_FALSE(lists(directory, "a"));
 }
 
-// Failure: after an outage of the store all targets are gone for a moment, and every request is refused.
-TEST(TargetDirectory, entriesThatLapsedInAnOutageAreKeptUntilTheyMayBeBack)
+// Guards against all targets being unlisted, and every request rejected, for a moment after an outage of the store.
+TEST(TargetDirectory, entriesThatExpiredInAnOutageAreKeptForTheGracePeriod)
 {
     TargetDirectory directory(Grace);
     directory.announce(target("lives", 1), Start);
@@ -64,7 +64,7 @@
     CHECK_FALSE(lists(directory, "gone"));
 }
 
-TEST(TargetDirectory, drainingTargetIsNotKeptThroughTheGrace)
+TEST(TargetDirectory, drainingTargetIsNotKeptForTheGracePeriod)
 {
     TargetDirectory directory(Grace);
     directory.announce(target("a", 1, true), Start);
@@ -72,7 +72,7 @@
     CHECK_TRUE(directory.remove(TargetName("a"), Start));
 }
 
-// Failure: a request reaches a target seconds after it had said that it leaves.
+// Guards against a request reaching a target seconds after it announced that it drains.
 TEST(TargetDirectory, olderRecordDoesNotUndoDraining)
 {
     TargetDirectory directory(Grace);
@@ -81,7 +81,7 @@
     CHECK_TRUE(directory.targets().at(TargetName("a")).target.draining);
 }
 
-TEST(TargetDirectory, completeListReplacesWhatItLacks)
+TEST(TargetDirectory, completeListRemovesMissingTargets)
 {
     TargetDirectory directory(Grace);
     directory.announce(target("a", 1), Start);
@@ -91,8 +91,8 @@
     CHECK_FALSE(directory.replaceAll({ target("b", 2) }, Start));
 }
 
-// Failure: a target that has started again gets nothing, or an old record brings its earlier start back.
-TEST(TargetDirectory, newStartUnderTheSameIdReplacesWhatWasKnown)
+// Guards against a restarted target getting no requests, and against an old record restoring its earlier start.
+TEST(TargetDirectory, restartUnderTheSameIdReplacesTheEarlierStart)
 {
     TargetDirectory directory(Grace);
     AnnouncedTarget earlier = target("a", 90, true);
@@ -107,7 +107,7 @@
     CHECK_EQUAL(1, directory.targets().at(TargetName("a")).target.sequence);
 }
 
-TEST(TargetDirectory, onceDrainingATargetNeverTakesWorkAgainWhateverTheOrderOfRecords)
+TEST(TargetDirectory, drainingTargetNeverTakesWorkAgainInAnyOrderOfRecords)
 {
     CHECK_TRUE(rc::check("draining is final", [] {
         TargetDirectory directory(Grace);
@@ -137,8 +137,8 @@
     }));
 }
 
-// Failure: each change of one target costs every process a whole list.
-TEST(TargetDirectory, changesAreToldOneByOne)
+// Guards against each change of one target costing every process a transfer of the whole list.
+TEST(TargetDirectory, changesAreReportedIndividually)
 {
     TargetDirectory directory(Seconds(2));
     directory.announce(target("i-1", 1), Start);
@@ -157,7 +157,7 @@
     CHECK_EQUAL(0, directory.changedSince(directory.changes())->size());
 }
 
-TEST(TargetDirectory, changesTooLongAgoAreNotKnown)
+TEST(TargetDirectory, changesTooLongAgoAreUnknown)
 {
     TargetDirectory directory(Seconds(2));
     for (int i = 0; i < 10'000; ++i) {
--- a/src/policy/targetlifecycle.cpp
+++ b/src/policy/targetlifecycle.cpp
@@ -8,18 +8,17 @@
 namespace internal
 {
 
-constexpr double SuspectedFrom = 0.5; // of what ejects
+constexpr double SuspectedFrom = 0.5; // relative to the ejection threshold
 constexpr double HealthyBelow = 0.2;
-// A suspected target keeps most of its traffic at first. The number of hurt requests that it takes to be sure is the
-// same at any rate, so that less traffic only makes for a later decision; a suspicion that lingers does lower the
-// weight.
+// A suspected target keeps nearly all of its traffic at first. The number of failed requests needed for a decision is
+// the same at any rate, so less traffic only delays the decision. A suspicion that lasts does lower the weight.
 constexpr double InitialSuspectedWeight = 0.9;
 constexpr double FinalSuspectedWeight = 0.3;
 constexpr double SuspectedSeconds = 10;
 constexpr double FloorHeldWeight = 0.05;
 constexpr double InitialSlowStartWeight = 0.1;
 
-// A trial passes when this many answers came, none in error, and their latencies speak for health.
+// A trial passes after this many responses, if none was an error and their latencies indicate a healthy target.
 constexpr std::uint32_t TrialAttempts = 8;
 constexpr double TrialPassedLatency = -5;
 constexpr double TrialFailedLatency = 2;
@@ -70,8 +69,8 @@
     case TargetPhase::Ejected:
     case TargetPhase::Trial:
         if (!assessment.mayEject) {
-            // The floor needs the target, or the other proxies no longer confirm the ejection. It has shown no health:
-            // it comes back suspected, and stays so for as long as a slow start would take.
+            // The floor needs the target, or the other proxies no longer confirm the ejection. It hasn't proven
+            // healthy, so it returns as suspected, and stays so for as long as a slow start would take.
             m_suspectedUntil = now + m_settings.slowStart;
             enter(TargetPhase::Suspected, now);
             return Event::TargetReturned;
@@ -149,8 +148,8 @@
 
 Event TargetLifecycle::eject(Instant now, std::mt19937_64 &random)
 {
-    // A target that flaps would be let back in, hurt requests and be found again, over and over at the same rate.
-    // Each ejection that isn't forgotten yet doubles the next, so that the harm dies down.
+    // A target that flaps would be returned to service, fail requests and be detected again, repeatedly at the same
+    // rate. Each ejection that hasn't expired doubles the length of the next, so that the damage decreases.
     m_timesEjected = std::min(m_timesEjected + 1, internal::MaxTimesEjected);
     const Duration doubled = m_settings.firstEjection * (1U << (m_timesEjected - 1));
     const Duration length = std::min(doubled, m_settings.maxEjection);
--- a/src/policy/weightedsplittest.cpp
+++ b/src/policy/weightedsplittest.cpp
@@ -48,7 +48,7 @@
     }));
 }
 
-TEST(WeightedSplit, changedWeightsAreInForceAtOnce)
+TEST(WeightedSplit, changedWeightsTakeEffectAtOnce)
 {
     WeightedSplit split(1);
     const HostRoute before = splitRoute({ 100, 1 });
--- a/src/policy/windowbudget.cpp
+++ b/src/policy/windowbudget.cpp
@@ -20,7 +20,7 @@
     return m_buckets.at(static_cast<std::size_t>(number % static_cast<std::int64_t>(m_buckets.size())));
 }
 
-// The buckets of the time to come hold loans; those that fall out of the window become the next of these.
+// Buckets after the current one hold loans. Buckets that leave the window are reused for them.
 void WindowBudget::advance(Instant now)
 {
     const Duration width = m_settings.window / static_cast<std::int64_t>(Buckets);
@@ -51,7 +51,7 @@
         requests += bucket.requests;
         spent += bucket.spent;
     }
-    // The oldest bucket lies partly outside of the window; the requests are taken a little low for it.
+    // The oldest bucket lies partly outside the window. The requests are scaled down to compensate for it.
     const double within = static_cast<double>(Buckets) / static_cast<double>(Buckets + 1);
     return m_settings.ratio * requests * within + m_settings.fixedAllowance - spent;
 }
@@ -67,7 +67,7 @@
     if (left(now) < 1 + reserve) {
         return false;
     }
-    // What was borrowed goes first: it is lost if it isn't spent soon.
+    // Borrowed attempts are spent first, since they expire soon.
     if (!m_borrowed.empty()) {
         m_borrowed.pop_back();
         return true;
--- a/src/policy/windowbudgettest.cpp
+++ b/src/policy/windowbudgettest.cpp
@@ -19,7 +19,7 @@
 
 TEST_GROUP(WindowBudget) {};
 
-TEST(WindowBudget, slackIsThereWithoutRequestsAndComesBackAfterTheWindow)
+TEST(WindowBudget, fixedAllowanceNeedsNoRequestsAndIsRenewedAfterTheWindow)
 {
     WindowBudget budget({ 0.2, Seconds(10), 2 });
     CHECK_TRUE(budget.trySpend(Start));
@@ -28,14 +28,14 @@
     CHECK_TRUE(budget.trySpend(Start + Seconds(12)));
 }
 
-TEST(WindowBudget, reserveIsLeftForOthers)
+TEST(WindowBudget, reserveIsNotSpent)
 {
     WindowBudget budget({ 0, Seconds(10), 2 });
     CHECK_FALSE(budget.trySpend(Start, 2));
     CHECK_TRUE(budget.trySpend(Start, 1));
 }
 
-TEST(WindowBudget, noWindowHoldsMoreThanRatioAndSlackAllow)
+TEST(WindowBudget, noWindowExceedsRatioAndFixedAllowance)
 {
     CHECK_TRUE(rc::check("sliding windows", [] {
         const double fixedAllowance = *rc::gen::inRange(0, 5);
@@ -57,7 +57,7 @@
             const auto within = [begin](Instant at) {
                 return at >= begin && at < begin + Seconds(10);
             };
-            // A window is allowed what its requests or those of the window before it earn.
+            // A window may use what its own requests and those of the window before it earn.
             const auto earlier = [begin](Instant at) {
                 return at >= begin - Seconds(10) && at < begin + Seconds(10);
             };
@@ -68,7 +68,7 @@
     }));
 }
 
-TEST(WindowBudget, WhatIsLentIsGoneForTheLender)
+TEST(WindowBudget, LentAttemptsCountAsSpentForTheLender)
 {
     WindowBudget budget({ 0, Seconds(10), 3 });
     CHECK_FALSE(budget.tryLend(Start, 3));
@@ -77,7 +77,7 @@
     DOUBLES_EQUAL(3, budget.left(Start + Seconds(14)), 1e-9);
 }
 
-TEST(WindowBudget, WhatIsBorrowedIsSpentBeforeItsTimeOrLost)
+TEST(WindowBudget, BorrowedAttemptsAreSpentBeforeTheyExpireOrLost)
 {
     WindowBudget budget({ 0, Seconds(10), 0 });
     budget.borrow(Start + Seconds(1));
@@ -89,7 +89,7 @@
 namespace
 {
 
-// Processes that share one budget by loans, over a network that loses, delays and repeats what they send.
+// Processes that share one budget by loans over a network that loses, delays and repeats messages.
 class LendingFleet
 {
 public:
@@ -112,7 +112,7 @@
         }
     }
 
-    // `process` asks `lender`; the response takes `delay` and arrives `copies` times.
+    // Requests a loan for `process` from `lender`. The response takes `delay` and arrives `copies` times.
     void ask(std::size_t process, std::size_t lender, Duration delay, int copies)
     {
         const std::optional<std::uint64_t> number = m_loans[process].ask(now);
@@ -140,7 +140,7 @@
         });
     }
 
-    // A process has ended; the one that follows takes part with nothing of its own (RetryAllowanceShare).
+    // Replaces a process. Its successor starts without a fixed allowance, as RetryAllowanceShare does.
     void restart(std::size_t process)
     {
         m_budgets[process] = WindowBudget({ Ratio, Seconds(10), 0 });
@@ -167,7 +167,8 @@
 
 } // namespace
 
-// Whatever is lost, late, repeated or restarted, the fleet's attempts in any window stay within what it has.
+// Guards against the fleet exceeding its budget in any window when messages are lost, late or repeated, or processes
+// restart.
 TEST(WindowBudget, LoansNeverLetTheFleetExceedItsBudget)
 {
     CHECK_TRUE(rc::check("loans", [] {
@@ -206,7 +207,7 @@
             const auto extra = std::count_if(fleet.spent.begin(), fleet.spent.end(), [begin](Instant at) {
                 return at >= begin && at < begin + Seconds(10);
             });
-            // The window's requests and those of the one before it, and of the time for which a loan is counted longer.
+            // The requests of this window, of the one before it, and of the extra time for which a loan is counted.
             const auto earned = std::count_if(fleet.requests.begin(), fleet.requests.end(), [begin](Instant at) {
                 return at >= begin - Seconds(13) && at < begin + Seconds(10);
             });
