--- a/include/mulberryplank/policy/atmostonceregistry.h
+++ b/include/mulberryplank/policy/atmostonceregistry.h
@@ -83,8 +83,7 @@
 struct AtMostOnceSettings {
     Seconds epoch { 60 };
     std::uint32_t epochsValid = 15; // a token can start requests during its epoch and this many more
-    std::uint32_t epochsKept =
-        5; // a key is kept for this many epochs after it can last start a request, for repeats of late runs
+    std::uint32_t epochsKept = 5; // a key is kept so many epochs longer than it may start, for repeats of late runs
     std::size_t maxKeys = 200'000; // in total
     std::size_t maxKeysPerAccount = 10'000;
     std::size_t maxResponseBytes = 65'536; // a larger response isn't kept, only the fact that there was one
@@ -181,8 +180,7 @@
     std::function<bool(Incarnation)> m_isMember;
     std::unordered_map<AccountName, AccountUse> m_use;
     ByExpiry m_byExpiry;
-    std::unordered_map<std::string, Entry>
-        m_entries; // destroyed first: its entries must unlink from the containers above
+    std::unordered_map<std::string, Entry> m_entries; // destroyed first: it unlinks from the containers above
     std::uint64_t m_sequence = 0;
 };
 
--- a/include/mulberryplank/policy/fleetshares.h
+++ b/include/mulberryplank/policy/fleetshares.h
@@ -39,8 +39,7 @@
     AccountName account;
     ShareAmounts wanted {}; // by LimitKind
     double slots = 0; // slot-time requested per second
-    ShareAmounts
-        claimed {}; // by LimitKind, of the pool: what the member holds, or will hold once all members acknowledged it
+    ShareAmounts claimed {}; // by LimitKind, of the pool: what the member holds, or will hold once all acknowledged it
 
     bool operator==(const AccountReport &) const = default;
 };
@@ -70,8 +69,7 @@
     Duration lease = Seconds(3); // how long claims hold without acknowledgements
     Duration silenceTimeout = Seconds(7); // after which claims of an unresponsive member are released. More than twice
                                           // the lease, by as much as clocks may differ in speed
-    Duration partitionGrace =
-        Seconds(60); // after which a member that has lost a majority of the others goes on without them
+    Duration partitionGrace = Seconds(60); // after which a member that has lost a majority of the others goes on alone
     std::size_t maxAccounts = 256; // in one report; accounts beyond it use even parts
 };
 
--- a/include/mulberryplank/policy/retrybudget.h
+++ b/include/mulberryplank/policy/retrybudget.h
@@ -9,13 +9,13 @@
 
 struct RetryBudgetSettings {
     double share = 0.1; // extra attempts per successful request
-    double maxTokens = 10; // maximum number of tokens: the largest burst of extra attempts
+    double maximum = 10; // maximum number of tokens: the largest burst of extra attempts
     double initial = 1; // tokens at the start
 };
 
 // Bounds the load that retries, hedges and range resumes add. Each success earns a fraction of a token and each extra
 // attempt spends a whole one. Without this bound, an outage in which every request is retried would multiply the load
-// on targets that are already failing. With it, extra load ends after `maxTokens` attempts while no request succeeds,
+// on targets that are already failing. With it, extra load ends within `maximum` attempts while no request succeeds,
 // and stays below `share` of the successes otherwise. Thread-compatible.
 class RetryBudget
 {
@@ -38,11 +38,11 @@
 
 struct BackoffSettings {
     Millis first { 10 };
-    Millis maxTokens { 1'000 };
+    Millis maximum { 1'000 };
 };
 
 // Returns the delay before retry number `retry` (1 for the first). It is evenly distributed between zero and a bound
-// that doubles from `first` to `maxTokens`, so that requests that failed together don't retry together.
+// that doubles from `first` to `maximum`, so that requests that failed together don't retry together.
 Duration backoff(const BackoffSettings &settings, unsigned retry, std::minstd_rand &random);
 
 } // namespace mulberryplank
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -147,7 +147,7 @@
         return failure(ErrorKind::Forbidden, "the account has no row for this service");
     }
     if (m_d->requests.contains(id)) {
-        return failure(ErrorKind::Internal, "a request of this id is known already");
+        return failure(ErrorKind::Internal, "a request with this id is already known");
     }
     m_d->chargeOverruns(now);
     const Duration estimate = m_d->cost.estimate(index, route);
--- a/src/policy/fleetsharesprivate.h
+++ b/src/policy/fleetsharesprivate.h
@@ -32,8 +32,7 @@
     double reportedSlots = 0;
     ShareAmounts claimed {};
     ShareAmounts usable {};
-    std::array<std::uint64_t, LimitKinds>
-        claimSequence {}; // of the report that first contained the claim; 0: none pending
+    std::array<std::uint64_t, LimitKinds> claimSequence {}; // of the report that first had the claim; 0: none pending
 };
 
 } // namespace mulberryplank::internal
@@ -86,10 +85,9 @@
     std::uint64_t contentSequence = 0; // of the last report that changed accounts
     bool contentChanged = true;
     bool evenPartsClaimed = false;
-    std::uint64_t evenPartsSequence =
-        0; // of the report that first claimed even parts of the present members; 0: none pending
-    std::uint32_t evenPartsUsable =
-        0; // number of members among which the even parts in use are divided; 0: none in use
+    std::uint64_t evenPartsSequence = 0; // of the report that first claimed even parts of the present members; 0: none
+                                         // pending
+    std::uint32_t evenPartsUsable = 0; // number of members that the even parts in use are divided among; 0: none in use
     Instant next; // when the next report is due
 };
 
--- a/src/policy/fleetsharestest.cpp
+++ b/src/policy/fleetsharestest.cpp
@@ -436,7 +436,7 @@
     CHECK_TRUE(shares.localLimits(TheAccount, end).inFlight == AdmitNone);
 }
 
-TEST(FleetShares, localWeightsAndCapacityFollowTheMembersDemand)
+TEST(FleetShares, localWeightsAndCapacityFollowAnAccountsDemandAtTheMember)
 {
     FleetSharesSettings settings;
     settings.self = VmName("vm0");
--- a/src/policy/retrybudgettest.cpp
+++ b/src/policy/retrybudgettest.cpp
@@ -47,7 +47,7 @@
     const BackoffSettings settings;
     for (unsigned retry = 1; retry < 100; ++retry) {
         const Duration delay = backoff(settings, retry, random);
-        const Duration bound = retry < 7 ? Duration(settings.first) * (1 << (retry - 1)) : Duration(settings.most);
+        const Duration bound = retry < 7 ? Duration(settings.first) * (1 << (retry - 1)) : Duration(settings.maximum);
         CHECK_TRUE(delay >= Duration::zero() && delay <= bound);
     }
 }
