--- a/include/mulberryplank/net/configsync.h
+++ b/include/mulberryplank/net/configsync.h
@@ -158,7 +158,7 @@
     boost::asio::awaitable<void> notePublishedSnapshots();
     boost::asio::awaitable<void> publishSnapshot();
     void noteLog(const Result<LogPage> &page);
-    void noteFinding(const LogJudgement &judgement);
+    void noteFinding(const LogCheckResult &judgement);
     boost::asio::awaitable<void> readBack(Offset appended, Instant deadline);
 
     // Peers' side.
--- a/include/mulberryplank/net/newsfollower.h
+++ b/include/mulberryplank/net/newsfollower.h
@@ -15,7 +15,7 @@
 #include "mulberryplank/net/keyedstore.h"
 #include "mulberryplank/net/newsmessages.h"
 #include "mulberryplank/net/turn.h"
-#include "mulberryplank/policy/configurationoffer.h"
+#include "mulberryplank/policy/configurationsender.h"
 #include "mulberryplank/policy/routetable.h"
 #include "mulberryplank/policy/storeretry.h"
 #include "mulberryplank/policy/targetdirectory.h"
@@ -180,7 +180,7 @@
     EventSink m_events;
 
     RouteTablePtr m_routes;
-    ConfigurationOffer m_offer; // the configuration in force, as it stands in the store, for other processes
+    ConfigurationSender m_offer; // the configuration in force, as it stands in the store, for other processes
     Offset m_configurationNext = 0;
     const Instant m_createdAt = Clock::now();
     bool m_configurationKnown = false; // m_configurationNext holds
--- a/include/mulberryplank/policy/attempts.h
+++ b/include/mulberryplank/policy/attempts.h
@@ -68,7 +68,7 @@
     bool deadlineIsCallers = false; // shorter than the route's timeout, so that missing it says nothing of the target
     Duration progressTimeout {}; // the most that the target may pause within a body
     std::optional<Duration> hedgeDelay {}; // HedgeDelay::delay() of the route; nothing: no hedging
-    std::uint32_t mostAttempts = 3; // resumes not counted
+    std::uint32_t maxAttempts = 3; // resumes not counted
     std::uint32_t mostResumes = 5;
     BackoffSettings backoff {};
     std::uint32_t seed = 1; // for the backoff's jitter
--- a/include/mulberryplank/policy/forwardplan.h
+++ b/include/mulberryplank/policy/forwardplan.h
@@ -12,7 +12,7 @@
 
 // Decides how often one request is sent, and what may be said of it at the end. Guarantees, whatever order attempts end
 // in: a request that may run only once is sent again only while every attempt before it is known not to have run; the
-// outcome NotRun is given only then, too; no more than HostRoute::mostAttempts targets can have run the request. Not
+// outcome NotRun is given only then, too; no more than HostRoute::maxAttempts targets can have run the request. Not
 // synchronized.
 class ForwardPlan
 {
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -70,10 +70,10 @@
         newest = std::max<std::uint64_t>(newest, member.applied);
     }
     m_news->noteVersionElsewhere(newest);
-    EntrySettings entries;
-    entries.leastPerDomain = m_settings.entriesPerDomain;
-    m_entries = entryMembers(all, entries);
-    m_reader = readerOf(all, m_settings.failureDomain);
+    IngressSettings entries;
+    entries.minPerDomain = m_settings.entriesPerDomain;
+    m_entries = ingressMembers(all, entries);
+    m_reader = designatedReader(all, m_settings.failureDomain);
     m_readsConfiguration = isAmongStrongest(all, m_incarnation, internal::ConfigurationReaders);
     // The budget's fixed part goes to the gateways that have the requests; the others have what theirs earn.
     const Instant now = Clock::now();
@@ -263,7 +263,7 @@
         co_return co_await askPeerForList(request);
     }
     const bool anyMember = std::bernoulli_distribution(0.5)(m_random) || m_entries.size() < 2;
-    const std::optional<Member> chosen = choosePeerForNews(
+    const std::optional<Member> chosen = choosePeerForUpdate(
         anyMember ? members() : m_entries, m_incarnation, request.version, m_silentPeers, Clock::now(), m_random);
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
@@ -274,7 +274,7 @@
 asio::awaitable<Result<PeerNews>> GatewayProcess::askPeerForList(PeerNewsRequest request)
 {
     const std::optional<Member> chosen =
-        choosePeerForList(m_entries, members(), m_incarnation, m_peersWithoutList, Clock::now(), m_random);
+        choosePeerForTargetList(m_entries, members(), m_incarnation, m_peersWithoutList, Clock::now(), m_random);
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
     }
@@ -299,7 +299,7 @@
 }
 
 // Names the gateways of the caller's failure domain, or all that there are when it has none.
-LocateAnswer GatewayProcess::locate(const FailureDomain &callerDomain) const
+LocateResponse GatewayProcess::locate(const FailureDomain &callerDomain) const
 {
     std::vector<Member> near;
     for (const Member &entry : m_entries) {
@@ -309,7 +309,7 @@
     }
     PlacementSettings settings;
     settings.lifetime = std::chrono::duration_cast<Millis>(m_settings.locateLifetime);
-    return locateAnswer(near.empty() ? m_entries : near, callerDomain, settings, 0);
+    return locateResponse(near.empty() ? m_entries : near, callerDomain, settings, 0);
 }
 
 } // namespace mulberryplank
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -18,8 +18,8 @@
 #include "mulberryplank/net/peertransport.h"
 #include "mulberryplank/net/reportbatch.h"
 #include "mulberryplank/net/seedkeeper.h"
-#include "mulberryplank/policy/entrychoice.h"
-#include "mulberryplank/policy/newspeer.h"
+#include "mulberryplank/policy/ingresschoice.h"
+#include "mulberryplank/policy/peerchoice.h"
 #include "mulberryplank/policy/placement.h"
 #include "mulberryplank/policy/slackshare.h"
 
@@ -118,7 +118,7 @@
     bool anotherReads() const; // the store, for this failure domain
     Member self() const;
     std::vector<Member> members() const;
-    LocateAnswer locate(const FailureDomain &callerDomain) const;
+    LocateResponse locate(const FailureDomain &callerDomain) const;
 
     // gatewayqueries.cpp: what others ask of the process
     boost::asio::awaitable<AdminAnswer> answerReady(AdminRequest request);
@@ -166,8 +166,8 @@
     std::vector<Member> m_entries; // the gateways that callers are named
     std::optional<Member> m_reader; // that reads the store for this failure domain; who knows the same members agrees
     bool m_readsConfiguration = false; // from the store
-    UnhelpfulPeers m_silentPeers { internal::SilenceLasts };
-    UnhelpfulPeers m_peersWithoutList { internal::ListMissingLasts };
+    RecentlyFailedPeers m_silentPeers { internal::SilenceLasts };
+    RecentlyFailedPeers m_peersWithoutList { internal::ListMissingLasts };
     std::shared_ptr<const std::vector<Member>> m_followed; // the members that m_entries were chosen from
     boost::asio::signal_set m_signals;
     std::filesystem::file_time_type m_fileTime {};
--- a/src/net/configsynclog.cpp
+++ b/src/net/configsynclog.cpp
@@ -50,9 +50,9 @@
     m_logReachable = reachable;
 }
 
-void ConfigSync::noteFinding(const LogJudgement &judgement)
+void ConfigSync::noteFinding(const LogCheckResult &judgement)
 {
-    m_logWentBack = judgement.finding == LogFinding::WentBack;
+    m_logWentBack = judgement.finding == LogFinding::RolledBack;
     if (m_logWentBack || judgement.finding == LogFinding::Malformed) {
         foundOtherLog("log: " + judgement.detail);
     }
@@ -100,25 +100,26 @@
 asio::awaitable<Result<LogFinding>> ConfigSync::fetch()
 {
     const ConfigState::Position position = m_state.position();
-    auto page = co_await m_log.read(ConfigStream, verifyingOffset(position.applied), m_settings.pageRecords, Millis(0));
+    auto page =
+        co_await m_log.read(ConfigStream, verificationOffset(position.applied), m_settings.pageRecords, Millis(0));
     noteLog(page);
     if (!page) {
         co_return tl::make_unexpected(page.error());
     }
     m_logExtent = { page->first, page->next, {} };
-    LogJudgement judgement = judgeLog(position.applied, position.last, std::move(*page));
+    LogCheckResult judgement = checkLog(position.applied, position.last, std::move(*page));
     noteFinding(judgement);
-    if (judgement.finding == LogFinding::WentBack || judgement.finding == LogFinding::Malformed) {
+    if (judgement.finding == LogFinding::RolledBack || judgement.finding == LogFinding::Malformed) {
         co_return judgement.finding;
     }
     m_lastVerified = m_clock();
     m_target = m_target.value_or(m_logExtent.next);
     noteNewest(m_logExtent.next);
-    ConfigNews news { position.applied, position.last, {} };
-    for (LogRecord &record : judgement.news) {
-        news.records.push_back(std::move(record.data));
+    ConfigNews update { position.applied, position.last, {} };
+    for (LogRecord &record : judgement.update) {
+        update.records.push_back(std::move(record.data));
     }
-    learn(news, "log");
+    learn(update, "log");
     noteProgress();
     // An empty log is an empty table only if nobody knows of a fuller one.
     if (m_newest == 0 && m_snapshotTried && (m_peersTried || peers().empty())) {
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -238,7 +238,7 @@
 {
     m_hedgeAt.reset();
     m_hedgeNeeds = {};
-    if (!isIdempotent(m_request.route->kind) || m_request.route->mostAttempts < 2) {
+    if (!isIdempotent(m_request.route->kind) || m_request.route->maxAttempts < 2) {
         return;
     }
     const TargetBalancer &balancer = m_service.balancer;
--- a/src/net/gatewaytesthelp.h
+++ b/src/net/gatewaytesthelp.h
@@ -134,7 +134,7 @@
         route.kind = kind;
         route.timeout = timeout;
         route.targetLatency = timeout;
-        route.mostAttempts = 2;
+        route.maxAttempts = 2;
         route.services = { { ServiceName("s"), 1 } };
         RouteTable table;
         table.version = 1;
--- a/src/net/newsfollowerpeers.cpp
+++ b/src/net/newsfollowerpeers.cpp
@@ -4,7 +4,7 @@
 #include <boost/asio/use_awaitable.hpp>
 
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/policy/pack.h"
+#include "mulberryplank/policy/compression.h"
 #include "newsfollowerprivate.h"
 
 namespace mulberryplank
@@ -73,7 +73,7 @@
         return;
     }
     const std::string_view base = piece.base == 0 ? std::string_view() : m_offer.bytes();
-    const Result<std::string> bytes = unpack(*packed, base);
+    const Result<std::string> bytes = decompress(*packed, base);
     if (!bytes) {
         // What stands in the store may still be read.
         noteUnreadable(KeyedTopic::Configuration, bytes.error().detail);
--- a/src/net/newsfollowertest.cpp
+++ b/src/net/newsfollowertest.cpp
@@ -702,8 +702,8 @@
     many.store.put(KeyedTopic::Configuration, "config", "1");
     many.followersNear = 40;
     many.settings.configurationInterval = Millis(1);
-    many.settings.storeRetry.mostShared = Seconds(60);
-    many.settings.storeRetry.sharedPerSecond = 1;
+    many.settings.storeRetry.maxSharedDelay = Seconds(60);
+    many.settings.storeRetry.sharedCallsPerSecond = 1;
     many.start();
     CHECK_TRUE(many.runUntilConfigured());
     many.reader = reader.follower.get();
--- a/src/net/newsmessages.cpp
+++ b/src/net/newsmessages.cpp
@@ -8,7 +8,7 @@
 #include <xxhash.h>
 
 #include "mulberryplank/net/cerealcodec.h"
-#include "mulberryplank/policy/pack.h"
+#include "mulberryplank/policy/compression.h"
 
 namespace mulberryplank
 {
@@ -120,12 +120,12 @@
 
 std::string packTargets(const std::vector<AnnouncedTarget> &targets)
 {
-    return pack(cerealEncode(targets), {});
+    return compress(cerealEncode(targets), {});
 }
 
 Result<std::vector<AnnouncedTarget>> unpackTargets(std::string_view packed)
 {
-    const Result<std::string> bytes = unpack(packed, {});
+    const Result<std::string> bytes = decompress(packed, {});
     if (!bytes) {
         return tl::make_unexpected(bytes.error());
     }
--- a/src/net/seedkeeper.cpp
+++ b/src/net/seedkeeper.cpp
@@ -110,7 +110,7 @@
 
 asio::awaitable<void> SeedKeeper::nameItself(std::vector<Member> members)
 {
-    const std::vector<VmName> gone = abandonedSeeds(m_seeds, members);
+    const std::vector<VmName> gone = staleSeeds(m_seeds, members);
     const Result<void> named = co_await nameSeed(m_store, m_self, gone);
     if (!named) {
         m_retryAt = Clock::now() + internal::RetryNaming;
--- a/src/policy/attempts.cpp
+++ b/src/policy/attempts.cpp
@@ -32,7 +32,7 @@
         running->timeoutAt = now + std::min(m_settings.progressTimeout, m_settings.deadline.remaining(now));
         return;
     }
-    const std::uint32_t attemptsLeft = m_settings.idempotent ? m_settings.mostAttempts - m_tries + 1 : 1;
+    const std::uint32_t attemptsLeft = m_settings.idempotent ? m_settings.maxAttempts - m_tries + 1 : 1;
     running->timeoutAt = now + attemptTimeout(m_settings.deadline.remaining(now), attemptsLeft);
     if (m_settings.hedgeDelay) {
         running->hedgeAt = now + *m_settings.hedgeDelay;
--- a/src/policy/attemptsteps.cpp
+++ b/src/policy/attemptsteps.cpp
@@ -37,7 +37,7 @@
 // The guard of "run at most once": a request that isn't idempotent is only started again while outcome() is NotRun.
 bool RequestPlan::mayStartAgain(Instant now) const
 {
-    if (m_tries >= m_settings.mostAttempts || m_bodyDropped || m_settings.deadline.passed(now)) {
+    if (m_tries >= m_settings.maxAttempts || m_bodyDropped || m_settings.deadline.passed(now)) {
         return false;
     }
     return m_settings.idempotent || outcome() == Outcome::NotRun;
@@ -47,7 +47,7 @@
 {
     const bool oneWaits = m_phase == Phase::Waiting && m_running.size() == 1 && !m_retryAt;
     return oneWaits && m_settings.idempotent && !m_hedgeRefused && !m_bodyDropped && m_running.front().hedgeAt
-           && m_tries < m_settings.mostAttempts;
+           && m_tries < m_settings.maxAttempts;
 }
 
 bool RequestPlan::isMismatch(AttemptNumber attempt, const AnswerHeader &header) const
--- a/src/policy/attemptstest.cpp
+++ b/src/policy/attemptstest.cpp
@@ -393,7 +393,7 @@
 TEST(Attempts, shedRequestMovesToAnotherTargetAndPassesOnTheHint)
 {
     PlanSettings settings = settingsFor(false);
-    settings.mostAttempts = 2;
+    settings.maxAttempts = 2;
     RequestPlan plan(settings, alwaysSpend);
     plan.start();
     AnswerHeader shed;
--- a/src/policy/forwardplan.cpp
+++ b/src/policy/forwardplan.cpp
@@ -47,12 +47,12 @@
         return false;
     }
     const std::uint32_t refused = m_started - mayRun;
-    return mayRun < m_route.mostAttempts && refused < internal::MostRefused;
+    return mayRun < m_route.maxAttempts && refused < internal::MostRefused;
 }
 
 bool ForwardPlan::nextIsLast() const
 {
-    return m_running + m_mayHaveRun + 1 >= m_route.mostAttempts;
+    return m_running + m_mayHaveRun + 1 >= m_route.maxAttempts;
 }
 
 void ForwardPlan::onStarted()
--- a/src/policy/forwardplantest.cpp
+++ b/src/policy/forwardplantest.cpp
@@ -14,11 +14,11 @@
 constexpr Instant Start { Seconds(1'000) };
 constexpr Instant Deadline { Seconds(1'003) };
 
-HostRoute routeOf(RouteKind kind, std::uint32_t mostAttempts)
+HostRoute routeOf(RouteKind kind, std::uint32_t maxAttempts)
 {
     HostRoute route;
     route.kind = kind;
-    route.mostAttempts = mostAttempts;
+    route.maxAttempts = maxAttempts;
     return route;
 }
 
@@ -32,7 +32,7 @@
 
 TEST(ForwardPlan, requestThatRunsOnceIsNotSentAgainAfterAReset)
 {
-    const HostRoute route = routeOf(RouteKind::Once, 3);
+    const HostRoute route = routeOf(RouteKind::NonIdempotent, 3);
     ForwardPlan plan(route, Deadline);
     plan.onStarted();
     plan.onSending();
@@ -44,7 +44,7 @@
 
 TEST(ForwardPlan, requestThatRunsOnceIsSentAgainAfterARefusal)
 {
-    const HostRoute route = routeOf(RouteKind::Once, 2);
+    const HostRoute route = routeOf(RouteKind::NonIdempotent, 2);
     ForwardPlan plan(route, Deadline);
     plan.onStarted();
     plan.onSending();
@@ -64,7 +64,7 @@
 TEST(ForwardPlan, whateverAttemptsComeToNoPromiseIsBroken)
 {
     CHECK_TRUE(rc::check("at most once, at most so often, truthful", [] {
-        const auto kind = *rc::gen::element(RouteKind::Idempotent, RouteKind::Once, RouteKind::LargeAnswer);
+        const auto kind = *rc::gen::element(RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::LargeResponse);
         const HostRoute route = routeOf(kind, *rc::gen::inRange<std::uint32_t>(1, 4));
         ForwardPlan plan(route, Deadline);
         std::uint32_t mayHaveRun = 0;
@@ -85,7 +85,7 @@
                 plan.onFailed(result, sent);
                 mayHaveRun -= sent && result == AttemptResult::Shed ? 1 : 0;
             }
-            RC_ASSERT(mayHaveRun <= route.mostAttempts);
+            RC_ASSERT(mayHaveRun <= route.maxAttempts);
             RC_ASSERT(isIdempotent(kind) || mayHaveRun <= 1);
             RC_ASSERT((plan.outcome() == Outcome::NotRun) == (mayHaveRun == 0));
             const ErrorAnswer &answer = errorAnswer(plan.finalError(false));
--- a/src/policy/entrychoice.cpp
+++ b/src/policy/ingresschoice.cpp
@@ -1,4 +1,4 @@
-#include "mulberryplank/policy/entrychoice.h"
+#include "mulberryplank/policy/ingresschoice.h"
 
 #include <algorithm>
 #include <array>
@@ -18,7 +18,7 @@
 constexpr std::size_t Tiers = 3;
 
 // Returns how far a member is from being fit: 0 is fit, Tiers never.
-std::size_t entryTier(const Member &member)
+std::size_t ingressTier(const Member &member)
 {
     switch (member.status) {
     case MemberStatus::Alive:
@@ -32,7 +32,7 @@
     return Tiers;
 }
 
-void takeStrongest(std::vector<const Member *> candidates, const EntrySettings &settings, std::vector<Member> &chosen)
+void takeStrongest(std::vector<const Member *> candidates, const IngressSettings &settings, std::vector<Member> &chosen)
 {
     std::sort(candidates.begin(), candidates.end(), [](const Member *one, const Member *other) {
         return ranksBefore(*one, *other);
@@ -44,7 +44,7 @@
     double taken = 0;
     std::size_t count = 0;
     for (const Member *candidate : candidates) {
-        if (count >= settings.leastPerDomain && taken >= total * settings.capacityShare) {
+        if (count >= settings.minPerDomain && taken >= total * settings.capacityShare) {
             return;
         }
         taken += candidate->capacity;
@@ -57,12 +57,12 @@
 
 } // namespace internal
 
-std::vector<Member> entryMembers(const std::vector<Member> &members, const EntrySettings &settings)
+std::vector<Member> ingressMembers(const std::vector<Member> &members, const IngressSettings &settings)
 {
     using ByDomain = std::map<FailureDomain, std::vector<const Member *>>;
     std::array<ByDomain, internal::Tiers> tiers;
     for (const Member &member : members) {
-        const std::size_t tier = internal::entryTier(member);
+        const std::size_t tier = internal::ingressTier(member);
         if (tier < internal::Tiers) {
             tiers.at(tier)[member.failureDomain].push_back(&member);
         }
--- a/src/policy/recordtail.cpp
+++ b/src/policy/recordtail.cpp
@@ -29,11 +29,11 @@
     if (from < first || from >= m_next) {
         return std::nullopt;
     }
-    ConfigNews news { from, m_entries[from - first].before, {} };
+    ConfigNews update { from, m_entries[from - first].before, {} };
     for (std::size_t index = from - first; index < m_entries.size(); ++index) {
-        news.records.push_back(m_entries[index].record);
+        update.records.push_back(m_entries[index].record);
     }
-    return news;
+    return update;
 }
 
 } // namespace mulberryplank
--- a/src/policy/targetbalancerspread.cpp
+++ b/src/policy/targetbalancerspread.cpp
@@ -52,7 +52,7 @@
             continue;
         }
         const bool near = entry.listed.target.failureDomain == m_settings.ownDomain;
-        if (wanted.route->kind == RouteKind::LargeAnswer && !near) {
+        if (wanted.route->kind == RouteKind::LargeResponse && !near) {
             continue; // the bill would outweigh what is learnt
         }
         const double wellness = 1 - beliefOf(entry, now);
--- a/src/policy/targetbalancertest.cpp
+++ b/src/policy/targetbalancertest.cpp
@@ -33,14 +33,14 @@
         }
         balancer.configure(targets);
         once.name = "once";
-        once.kind = RouteKind::Once;
+        once.kind = RouteKind::NonIdempotent;
         once.targetLatency = Millis(1'200);
         idempotent = once;
         idempotent.name = "idempotent";
         idempotent.kind = RouteKind::Idempotent;
         large = idempotent;
         large.name = "large";
-        large.kind = RouteKind::LargeAnswer;
+        large.kind = RouteKind::LargeResponse;
     }
 
     static TargetName name(std::size_t index)
--- a/src/policy/targetusetest.cpp
+++ b/src/policy/targetusetest.cpp
@@ -25,7 +25,7 @@
     double sickShare = 0.3; // of the targets at a time, of which three quarters of the requests hang
     double lostNews = 0; // share of the messages
     Duration newsDelay = Millis(1);
-    RouteKind kind = RouteKind::Once;
+    RouteKind kind = RouteKind::NonIdempotent;
     std::uint64_t seed = 1;
 };
 
--- a/src/state/configstatetest.cpp
+++ b/src/state/configstatetest.cpp
@@ -44,8 +44,9 @@
 void readLog(ConfigState &state, const FakeLog &log, std::size_t most)
 {
     const auto position = state.position();
-    const auto judgement = judgeLog(position.applied, position.last, log.page(verifyingOffset(position.applied), most));
-    RC_ASSERT(judgement.finding != LogFinding::WentBack);
+    const auto judgement =
+        checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), most));
+    RC_ASSERT(judgement.finding != LogFinding::RolledBack);
     RC_ASSERT(judgement.finding != LogFinding::Malformed);
     if (judgement.finding == LogFinding::Expired) {
         if (auto table = log.newestSnapshot()) {
@@ -53,11 +54,11 @@
         }
         return;
     }
-    ConfigNews news { position.applied, position.last, {} };
-    for (const LogRecord &record : judgement.news) {
-        news.records.push_back(record.data);
+    ConfigNews update { position.applied, position.last, {} };
+    for (const LogRecord &record : judgement.update) {
+        update.records.push_back(record.data);
     }
-    RC_ASSERT(state.learn(news).has_value());
+    RC_ASSERT(state.learn(update).has_value());
 }
 
 std::string digestOf(const ConfigState &state)
@@ -142,8 +143,8 @@
                 }
                 break;
             case 3: // a peer's records, of any age
-                if (const auto news = proxies[other]->newsSince(draw.upTo(log.records.size() + 1))) {
-                    (void)proxies[self]->learn(*news);
+                if (const auto update = proxies[other]->newsSince(draw.upTo(log.records.size() + 1))) {
+                    (void)proxies[self]->learn(*update);
                 }
                 break;
             case 4: // a peer's snapshot, of any age
@@ -187,9 +188,9 @@
     log.records[1] = record("x", { { account("x"), false } });
     log.records.push_back(record("y", { { account("y"), false } }));
     const auto position = m_state.position();
-    const auto replaced = judgeLog(position.applied, position.last, log.page(verifyingOffset(position.applied), 9));
-    CHECK_TRUE(replaced.finding == LogFinding::WentBack);
-    CHECK_TRUE(judgeLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::WentBack);
+    const auto replaced = checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), 9));
+    CHECK_TRUE(replaced.finding == LogFinding::RolledBack);
+    CHECK_TRUE(checkLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::RolledBack);
 }
 
 // Some peers follow the log made anew, others the old one; the offsets meet.
@@ -215,9 +216,9 @@
 // A page answers with the records after a hole, for instance when the log's store lost some in the middle.
 TEST(ConfigState, pageWithAHoleIsNotApplied)
 {
-    const auto judgement = judgeLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
+    const auto judgement = checkLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
     CHECK_TRUE(judgement.finding == LogFinding::Malformed);
-    CHECK_TRUE(judgeLog(0, {}, { 0, 3, { { 1, "b" }, { 2, "c" } } }).finding == LogFinding::Malformed);
+    CHECK_TRUE(checkLog(0, {}, { 0, 3, { { 1, "b" }, { 2, "c" } } }).finding == LogFinding::Malformed);
 }
 
 TEST(ConfigState, viewOutlivesTheEditThatReplacesIt)
--- a/tests/newsfleet.h
+++ b/tests/newsfleet.h
@@ -17,7 +17,7 @@
 #include "mulberryplank/net/clock.h"
 #include "mulberryplank/net/newsfollower.h"
 #include "mulberryplank/net/pause.h"
-#include "mulberryplank/policy/newspeer.h"
+#include "mulberryplank/policy/peerchoice.h"
 
 namespace mulberryplank
 {
@@ -182,8 +182,8 @@
         std::shared_ptr<Life> life;
         std::unique_ptr<NewsFollower> follower;
         StoreAccess access = StoreAccess::Served;
-        UnhelpfulPeers silentPeers { Seconds(2) };
-        UnhelpfulPeers withoutList { Millis(500) };
+        RecentlyFailedPeers silentPeers { Seconds(2) };
+        RecentlyFailedPeers withoutList { Millis(500) };
         bool isCut = false;
         Instant disturbedAt {}; // its start, or the begin or end of a cut
         std::uint64_t gossipedVersion = 0; // the configuration that the others know it to have
@@ -231,7 +231,7 @@
     }
 
     // Returns who reads the store for a process, as this one sees it: who is cut off takes the others for dead in time.
-    std::size_t readerOf(std::size_t index) const
+    std::size_t designatedReader(std::size_t index) const
     {
         if (!seemsAlive(index)) {
             return index;
@@ -335,10 +335,10 @@
         const std::vector<Member> entries = entriesFor(index);
         std::optional<Member> chosen;
         if (request.wantsTargets) {
-            chosen = choosePeerForList(entries, members, index + 1, process.withoutList, now, m_random);
+            chosen = choosePeerForTargetList(entries, members, index + 1, process.withoutList, now, m_random);
         } else {
             const std::vector<Member> &candidates = chance(0.5) ? members : entries;
-            chosen = choosePeerForNews(candidates, index + 1, request.version, process.silentPeers, now, m_random);
+            chosen = choosePeerForUpdate(candidates, index + 1, request.version, process.silentPeers, now, m_random);
         }
         return chosen ? static_cast<std::size_t>(chosen->incarnation - 1) : index;
     }
@@ -466,12 +466,12 @@
             return life->alive ? askPeer(index, request) : ask(index, index, request, {});
         };
         hooks.askReader = [this, index, life](PeerNewsRequest request) {
-            const std::size_t reader = life->alive ? readerOf(index) : index;
+            const std::size_t reader = life->alive ? designatedReader(index) : index;
             const bool isSilent = m_processes[index]->silentPeers.contains(reader + 1, Clock::now());
             return ask(index, isSilent ? index : reader, request, ReaderLimit);
         };
         hooks.hasReader = [this, index, life] {
-            return life->alive && readerOf(index) != index;
+            return life->alive && designatedReader(index) != index;
         };
         hooks.readsConfiguration = [this, index, life] {
             return life->alive && readsConfiguration(index);
@@ -497,7 +497,7 @@
 
     void tellAsReader(std::size_t index, const Life &life, std::uint64_t version)
     {
-        if (life.alive && readerOf(index) == index) {
+        if (life.alive && designatedReader(index) == index) {
             tellNear(index, version);
         }
     }
