--- a/include/mulberryplank/policy/configurationsender.h
+++ b/include/mulberryplank/policy/configurationsender.h
@@ -9,9 +9,9 @@
 namespace mulberryplank
 {
 
-// The configuration that a process has in force, as it gives it to others: compressed, in pieces, and only what differs
-// where the other one has the configuration that was in force here before: many processes share the link of the one
-// that they ask, and mostly a line has changed. Not synchronized.
+// Provides the configuration in force to other processes. It is compressed and sent in pieces. A receiver that has the
+// previous configuration gets only the difference: many processes share the link of the process that they request it
+// from, and usually a single line has changed. Not synchronized.
 class ConfigurationSender
 {
 public:
@@ -19,14 +19,14 @@
     ConfigurationSender(const ConfigurationSender &) = delete;
     ConfigurationSender &operator=(const ConfigurationSender &) = delete;
 
-    // Puts a configuration in the place of the one before it.
+    // Replaces the current configuration, which becomes the previous one.
     void replace(std::string bytes, std::uint64_t version);
 
-    // Returns the next piece for a process that has the configuration with the digest `base` and asks to go on at
-    // `next`. There must be a configuration.
+    // Returns the next piece for a process that has the configuration with the digest `base` and requests the transfer
+    // to continue at `next`. Must be called only after replace().
     ConfigurationPiece piece(std::uint64_t base, const PiecePosition &next);
 
-    // Return the bytes of the configuration and their digest; no bytes and 0 before there is one.
+    // Return the bytes of the configuration and their digest; empty and 0 before the first call of replace().
     const std::string &bytes() const;
     std::uint64_t digest() const;
 
@@ -34,7 +34,7 @@
     struct Compressed {
         std::string bytes;
         std::uint64_t digest = 0;
-        std::uint64_t base = 0; // digest of what it is unpacked with; 0: nothing
+        std::uint64_t base = 0; // digest of the configuration needed to decompress it; 0: none
     };
 
     const Compressed &compressedFor(std::uint64_t base);
@@ -44,7 +44,7 @@
     std::uint64_t m_digest = 0;
     std::string m_previous;
     std::uint64_t m_previousDigest = 0;
-    std::map<std::uint64_t, Compressed> m_compressed; // by the base's digest; 0: without one
+    std::map<std::uint64_t, Compressed> m_compressed; // by the base's digest; 0: without a base
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/configurationtransfer.h
+++ b/include/mulberryplank/policy/configurationtransfer.h
@@ -8,37 +8,39 @@
 namespace mulberryplank
 {
 
-// The bytes in one piece of a configuration: 50 ms on a link of 10 Mbit/s, so that an answer arrives within the few
-// hundred milliseconds that a process waits for one, also while requests and other answers share the link.
+// The size of one piece of a configuration in bytes. It takes 50 ms on a link of 10 Mbit/s, so a response arrives
+// within the few hundred milliseconds that a process waits for it, even while requests and other responses share the
+// link.
 inline constexpr std::size_t ConfigurationPieceSize = 65'536;
 
-// Where a transfer goes on: behind the first `begin` bytes of the packed configuration with this version and digest.
+// The position at which a transfer continues: after the first `begin` bytes of the compressed configuration with this
+// version and digest.
 struct PiecePosition {
-    std::uint64_t version = 0; // 0: none has begun
+    std::uint64_t version = 0; // 0: no transfer has started
     std::uint64_t digest = 0;
     std::uint64_t begin = 0;
 };
 
-// A piece of a packed configuration on its way from one process to another.
+// A piece of a compressed configuration as sent from one process to another.
 struct ConfigurationPiece {
     PiecePosition position;
-    std::uint64_t size = 0; // bytes of the whole packed configuration
-    std::uint64_t base = 0; // digest of the configuration that it is unpacked with; 0: none
-    std::string bytes; // empty: nothing newer is there
+    std::uint64_t size = 0; // of the whole compressed configuration, in bytes
+    std::uint64_t base = 0; // digest of the configuration needed to decompress it; 0: none
+    std::string bytes; // empty: the sender has nothing newer
 };
 
-// Returns the digest by which a configuration, or the pieces of a packed one, are known.
+// Returns the digest that identifies a configuration or a compressed configuration.
 std::uint64_t configurationDigest(std::string_view bytes);
 
-// Returns the piece of `bytes` at `from`, or the first one when `from` is of other bytes. The base is left out.
+// Returns the piece of `bytes` at `from`, or the first piece if `from` refers to other bytes. Doesn't set the base.
 ConfigurationPiece pieceAt(std::string_view bytes,
                            std::uint64_t version,
                            std::uint64_t digest,
                            const PiecePosition &from);
 
-// Puts the pieces of a packed configuration together, whoever they come from. What has arrived is kept when an answer
-// fails, so the next one goes on from there: a transfer that startsTransfer anew after each failure never ends over a
-// link on which it takes longer than the time between two failures. Not synchronized.
+// Reassembles a compressed configuration from pieces, which may come from different processes. Received pieces are kept
+// when a request fails, so the next request continues there. Restarting after each failure would never finish over a
+// link on which the transfer takes longer than the time between two failures. Not synchronized.
 class ConfigurationTransfer
 {
 public:
@@ -46,15 +48,16 @@
     ConfigurationTransfer(const ConfigurationTransfer &) = delete;
     ConfigurationTransfer &operator=(const ConfigurationTransfer &) = delete;
 
-    // Takes a piece, and returns the whole packed configuration if it was the last one. Pieces that don't fit are
-    // dropped; the first piece of another configuration startsTransfer a new transfer, of an older one only after
-    // onSourceFailed().
+    // Adds a piece. Returns the whole compressed configuration if this piece was the last one. Pieces that don't fit
+    // are discarded. The first piece of another configuration starts a new transfer; that of an older configuration
+    // does so only after onSourceFailed().
     std::optional<std::string> take(const ConfigurationPiece &piece);
 
-    // Whoever was asked last doesn't answer. Where nobody else has that configuration either, an older one is taken.
+    // Must be called when the process that was queried last doesn't respond. The transfer then accepts an older
+    // configuration, in case no other process has the current one.
     void onSourceFailed();
 
-    // Returns where the next piece startsTransfer.
+    // Returns the position at which the next piece starts.
     PiecePosition next() const;
 
 private:
--- a/include/mulberryplank/policy/fleetseeds.h
+++ b/include/mulberryplank/policy/fleetseeds.h
@@ -9,26 +9,27 @@
 namespace mulberryplank
 {
 
-// A process that newcomers ask for the other members.
+// A process that starting processes request the list of members from.
 struct FleetSeed {
     VmName vm;
     Endpoint peer;
     FailureDomain failureDomain;
 };
 
-// Returns whether the process `self` is among the `perDomain` strongest of its failure domain, of those that neither
-// leave nor are dead: these are the seeds, and those that read the configuration from the store. Who knows the same
-// members comes to the same result, so that a fleet of any size has so many in each domain, and one that is lost is
-// replaced.
+// Returns whether the process `self` is among the `perDomain` members with the highest capacity in its failure domain,
+// not counting members that are leaving or dead. These members are the seeds and read the configuration from the store.
+// The result is the same on all processes that know the same members. A fleet of any size thus has the same number of
+// them in each domain, and one that is lost is replaced.
 bool isAmongStrongest(const std::vector<Member> &members, Incarnation self, std::size_t perDomain);
 
-// Returns the member that reads the store for the others of its failure domain: the strongest that is alive there,
-// ready or not, or nothing. While a fleet starts few are ready, and a choice among those would name nobody in most
-// domains, so that everybody there would read for itself.
+// Returns the designated reader of a failure domain, which reads the store for the domain's other members, or nothing.
+// It is the member with the highest capacity that is alive there, ready or not. Few members are ready while a fleet
+// starts: a choice among ready members only would leave most domains without a reader, and every process there would
+// read the store itself.
 std::optional<Member> designatedReader(const std::vector<Member> &members, const FailureDomain &domain);
 
-// Returns the VMs among `seeds` that none of the members runs on. None if that goes for all seeds: a process that knows
-// nobody of those whom the store names may itself be the one that is cut off.
+// Returns the VMs among `seeds` that no live member runs on. Returns none if that is true of all seeds: a process that
+// knows none of the seeds in the store may itself be disconnected.
 std::vector<VmName> staleSeeds(const std::vector<FleetSeed> &seeds, const std::vector<Member> &members);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/ingresschoice.h
+++ b/include/mulberryplank/policy/ingresschoice.h
@@ -10,14 +10,16 @@
 
 struct IngressSettings {
     std::size_t minPerDomain = 1;
-    // The part of a domain's capacity that is named, at least. Few processes with many requests each see more of every
-    // target, tell each other less and keep fuller pools of connections; a caller whose entry has gone asks again.
+    // The minimum share of a domain's capacity that is selected. With few proxies that each handle many requests, every
+    // proxy observes more of each target, exchanges fewer messages and keeps fuller connection pools. A caller whose
+    // ingress proxy has stopped locates another one.
     double capacityShare = 0.06;
 };
 
-// Returns the members that callers are named as entries to the fleet, by failure domain: the strongest of each domain,
-// so many that both settings are met. Members that are alive and ready go first; where a fleet has none, those that are
-// alive, and at last any that aren't dead. All who know the same members get the same answer, in the same order.
+// Returns the ingress proxies that callers are directed to, by failure domain: the members of each domain with the
+// highest capacity, as many as both settings require. Selects among the members that are alive and ready; if there are
+// none in the fleet, among those that are alive; if there are none of these either, among all that aren't dead. The
+// result is the same, in the same order, on all processes that know the same members.
 std::vector<Member> ingressMembers(const std::vector<Member> &members, const IngressSettings &settings);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/logpage.h
+++ b/include/mulberryplank/policy/logpage.h
@@ -20,7 +20,7 @@
 struct LogPage {
     Offset first = 0; // the oldest record that the log still keeps
     Offset next = 0; // the offset that the next append will get
-    std::vector<LogRecord> records; // in order, from the offset asked for or `first`, whichever is later
+    std::vector<LogRecord> records; // in order, from the requested offset or `first`, whichever is later
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/member.h
+++ b/include/mulberryplank/policy/member.h
@@ -10,10 +10,10 @@
 namespace mulberryplank
 {
 
-// Random per process: a restarted process is never mistaken for the one before it.
+// Random per process, so that a restarted process is never mistaken for its predecessor.
 using Incarnation = std::uint64_t;
 
-// An IP number and a port.
+// An IP address and a port.
 struct Endpoint {
     std::string host;
     std::uint16_t port = 0;
@@ -24,20 +24,19 @@
 // Returns "host:port".
 std::string toString(const Endpoint &endpoint);
 
-// Returns the endpoint that `text` ("host:port") names, or nothing when it has no port from 1 to 65535. Any host will
-// do.
+// Parses `text` ("host:port"). Returns nothing if it has no port from 1 to 65535. Accepts any host.
 std::optional<Endpoint> endpointFromString(std::string_view text);
 
 enum class MemberStatus : std::uint8_t {
     Alive,
     Suspect,
-    Leaving, // still serves; no longer named to callers
+    Leaving, // still serves; callers are no longer directed to it
     Dead,
 };
 
 std::string_view toString(MemberStatus status);
 
-// What a member says of itself and the fleet knows of it.
+// What a member reports of itself, and its status as seen by the fleet.
 struct Member {
     VmName vm;
     Incarnation incarnation = 0;
@@ -45,9 +44,9 @@
     Endpoint caller; // HTTP for callers
     FailureDomain failureDomain;
     MemberStatus status = MemberStatus::Alive;
-    Offset applied = 0; // ConfigTable::nextOffset() as last heard
+    Offset applied = 0; // ConfigTable::nextOffset() as last received
     bool ready = false; // has a configuration and serves
-    std::uint32_t capacity = 1'000; // of its processor, in thousandths of a core
+    std::uint32_t capacity = 1'000; // CPU capacity in thousandths of a core
 
     bool operator==(const Member &) const = default;
 };
--- a/include/mulberryplank/policy/memberlist.h
+++ b/include/mulberryplank/policy/memberlist.h
@@ -15,32 +15,32 @@
 namespace mulberryplank
 {
 
-// Something that happened to a member, for the log.
+// A change of a member, for the event log.
 struct MembershipEvent {
     Event event;
     Member member;
     std::string detail;
 };
 
-// Returns the member that `state` describes. Its description must be there.
+// Returns the member that `state` describes. `state` must have a description.
 Member memberOf(const MemberUpdate &state);
 
-// What one process knows of the members: the rules by which updates are merged, and the queue of what is passed on.
-// Merging is commutative and idempotent: members that have seen the same updates agree, in whatever order they came.
+// The members that one process knows, the rules by which updates are merged, and the queue of updates to disseminate.
+// Merging is commutative and idempotent: members that have received the same updates agree, regardless of their order.
 class MemberList
 {
 public:
     struct Entry {
         MemberUpdate state; // always with its description
-        Instant lastReceived {}; // when a message came from the member itself
-        Instant deadline {}; // Suspect: taken for dead then. Dead: forgotten then
+        Instant lastReceived {}; // the time of the last message from the member itself
+        Instant deadline {}; // Suspect: when it is declared dead. Dead: when it is forgotten
         std::uint8_t transmitsLeft = 0;
-        std::uint8_t indirectOnlyProbes = 0; // successive probes that only got an answer through others
+        std::uint8_t indirectOnlyProbes = 0; // successive probes with indirect responses only
         bool queued = false;
-        bool includeDescription = false; // pass on with the description
+        bool includeDescription = false; // when queued for gossip
         bool leaving = false; // has announced that it leaves
-        bool suspectedByThisProcess = false; // Suspect: by this process
-        bool isolatedSuspicion = false; // accused while hearing nobody: kept to oneself
+        bool suspectedByThisProcess = false; // if Suspect
+        bool isolatedSuspicion = false; // suspected while this process received no messages; not disseminated
     };
 
     MemberList(const Member &self, std::uint32_t transmitFactor, Duration forgetDeadAfter);
@@ -49,39 +49,40 @@
 
     // Commands.
 
-    // Merges an update. Returns true if it brought something new. `disseminate` queues it for gossip.
+    // Merges an update. Returns true if it changed the state. If `disseminate` is set, queues the update for gossip.
     bool merge(const MemberUpdate &update, bool disseminate, Instant now);
 
-    // Accuses a member of not answering until `deadline`, at which expireSuspicions() takes it for dead. An accusation
-    // of `isolatedSuspicion` isn't passed on.
+    // Suspects a member of not responding. expireSuspicions() declares it dead at `deadline`. An `isolatedSuspicion`
+    // isn't disseminated.
     void suspect(Entry &entry, Instant deadline, bool isolatedSuspicion);
 
-    // Takes every suspect for dead whose deadline has come.
+    // Declares every suspect dead whose deadline has passed.
     void expireSuspicions(Instant now);
 
     // Declares a member dead.
     void declareDead(Entry &entry, Instant now);
 
-    // Withdraws all accusations that were made while hearing nobody.
+    // Withdraws all suspicions that arose while this process received no messages.
     void withdrawIsolatedSuspicions();
 
-    // Forgets the dead whose deadline has come.
+    // Removes dead members whose deadline has passed.
     void forgetDead(Instant now);
 
-    // Puts off all suspicions.
+    // Postpones the deadlines of all suspicions.
     void postponeSuspicions(Duration by);
 
-    // Raises the own counter, so that what is said of this process from now on overrides what others say.
+    // Increments this process's own counter, so that its updates from then on override what other members report of it.
     void incrementOwnCounter();
     void setOwnState(MemberStatus status, Offset applied, bool ready);
 
     // Queues a member's state for gossip.
     void queue(Entry &entry, bool includeDescription);
 
-    // Takes queued updates of at most `budget` bytes, then fills up with the state of up to `samples` random members.
+    // Returns queued updates of at most `budget` bytes. Adds the state of up to `samples` random members while there is
+    // room.
     std::vector<MemberUpdate> takeUpdates(std::size_t budget, std::size_t samples, std::mt19937_64 &random);
 
-    // Returns the members that joined, or came back from the dead, since the last call.
+    // Returns the members that joined, or returned after being dead, since the last call.
     std::vector<Incarnation> takeJoined();
 
     void addEvent(Event event, const Entry &entry, std::string detail);
@@ -94,19 +95,19 @@
     Entry *find(Incarnation incarnation);
     const std::vector<Entry> &entries() const;
 
-    // Returns every member known, this process first; those taken for dead are among them until they are forgotten.
+    // Returns all members, this process first. Dead members are included until they are forgotten.
     const std::vector<Member> &members() const;
 
-    // Returns the number of members that aren't taken for dead, this process included.
+    // Returns the number of members that aren't dead, including this process.
     std::size_t liveCount() const;
 
     bool hasUpdates() const;
     const std::vector<Incarnation> &suspects() const;
 
-    // Returns a random member that isn't taken for dead, or nothing if there is none besides this process.
+    // Returns a random member that isn't dead, or nullptr if there is none besides this process.
     Entry *randomLive(std::mt19937_64 &random);
 
-    // Returns a random member that is taken for dead, or nothing.
+    // Returns a random dead member, or nullptr.
     Entry *randomDead(std::mt19937_64 &random);
 
 private:
--- a/include/mulberryplank/policy/memberrank.h
+++ b/include/mulberryplank/policy/memberrank.h
@@ -5,8 +5,8 @@
 namespace mulberryplank
 {
 
-// Orders members for duties that a few of them have: the stronger goes first; among equals the order follows the VM's
-// name, so that a restart moves nothing.
+// Orders members for roles that only some of them have: by descending capacity, then by a hash of the VM's name, so
+// that a restart doesn't change the order.
 bool ranksBefore(const Member &one, const Member &other);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/membership.h
+++ b/include/mulberryplank/policy/membership.h
@@ -14,7 +14,8 @@
 namespace mulberryplank
 {
 
-// What the platform's VM list says of a VM. It lags, so it only makes a suspicionTimeout shorter or longer.
+// What the platform's VM list reports of a VM. The list lags, so it only makes the time until a suspect is declared
+// dead longer or shorter.
 enum class VmHint : std::uint8_t {
     Live,
     Leaving,
@@ -22,48 +23,51 @@
 
 struct MembershipSettings {
     std::vector<Endpoint> seeds; // peer addresses to join through
-    std::size_t preferredSeeds = 0; // so many of the first ones are asked before the others
-    Duration probeInterval = Millis(500); // each process probes one member in each
-    Duration retryAfter = Millis(150); // without an response: again, and through others
+    std::size_t preferredSeeds = 0; // the first ones in `seeds`, which are queried before the others
+    Duration probeInterval = Millis(500); // each process probes one member per interval
+    Duration retryAfter = Millis(150); // without a response: probes again, also indirectly
     Duration secondRetryAfter = Millis(350);
-    Duration responseTimeout = Millis(600); // without an response by then: suspect
+    Duration responseTimeout = Millis(600); // without a response by then: suspect
     std::size_t indirectProbes = 4; // at each of the two retries
     Duration suspicionTimeout = Seconds(2); // grows with the size of the fleet, see Membership::suspicionTime()
-    double suspectProbes = 2; // of each suspect by the fleet, in one probeInterval, besides those of its accusers
-    double deadProbes = 0.25; // of each of the dead by the fleet, in one probeInterval
-    Duration forgetDeadAfter = std::chrono::hours(1); // longer than two regions may lose each other
-    Duration gossipInterval = Millis(250); // while there is news
+    double suspectProbes = 2; // of each suspect per probeInterval by the whole fleet, besides probes of processes that
+                              // suspect it themselves
+    double deadProbes = 0.25; // of each dead member per probeInterval by the whole fleet
+    Duration forgetDeadAfter = std::chrono::hours(1); // longer than two regions may be disconnected from each other
+    Duration gossipInterval = Millis(250); // while there are queued updates
     std::size_t gossipFanout = 2;
-    std::uint32_t transmitFactor = 4; // each update is passed on so often times the fleet's size in digits
+    std::uint32_t transmitFactor = 4; // each update is sent this many times the number of digits of the fleet's size
     std::size_t updateBudget = 600; // bytes of updates in one message
     std::size_t samples = 4; // random members whose state fills up a message
     Duration pauseThreshold = Seconds(2); // a gap between ticks from which on this process counts as paused
-    Duration joinRetryInterval = Millis(100); // of seeds, while alone
-    Duration seedTimeout = Millis(600); // before the same one is asked again
-    Duration seedRetryInterval = Seconds(5); // of a seed that isn't among the live members
-    Duration exchangeInterval = std::chrono::minutes(10); // of whole lists
-    Duration earlyExchangeInterval = Seconds(10); // at least, between exchanges for the sake of unknown members
+    Duration joinRetryInterval = Millis(100); // for queries of seeds while no other member is known
+    Duration seedTimeout = Millis(600); // before the same seed is queried again
+    Duration seedRetryInterval = Seconds(5); // for queries of a seed that isn't among the live members
+    Duration exchangeInterval = std::chrono::minutes(10); // between exchanges of whole lists
+    Duration earlyExchangeInterval = Seconds(10); // minimum between early exchanges due to unknown members
     Duration catchUpInterval = Millis(250); // the same while this process has just started
     Duration catchUpDuration = Seconds(5); // after which it counts as started
-    // So many members that an asker doesn't know are described in a second, and at once after a pause. When a whole
-    // fleet starts, everybody asks the same few seeds for lists that grow with the fleet: their links would be full for
-    // longer than an response is waited for, and every response would be asked for again.
+    // Limits on descriptions of members that the requesting process doesn't know: per second, and at once after an idle
+    // time. When a whole fleet starts, all processes request lists from the same few seeds, and the lists grow with the
+    // fleet. Without a limit the seeds' links would be full for longer than the response timeout, and every response
+    // would be requested again.
     double descriptionsPerSecond = 8'000;
     std::size_t descriptionBurst = 8'000;
-    std::size_t minDescriptions = 16; // to each asker, who then has others to ask
+    std::size_t minDescriptions = 16; // to each requesting process, which can then query other members
     double toleratedDifference =
-        0.02; // of the members, by which two lists differ for a while after members came or went
+        0.02; // share of the members by which two lists may differ for a while after members joined or left
 };
 
-// Which members there are and which of them response, by the SWIM protocol: each process probes one member after the
-// other, in random order, asks others to probe it if it doesn't response, then suspects it and tells the others; a
-// suspect that doesn't refute in time is dead. News travels on the probes and, while there is any, in short gossip
-// messages. A process sends a bounded number of bytes per second, whatever the size of the fleet.
+// Tracks which members exist and which of them respond, by the SWIM protocol. Each process probes the members one after
+// the other in random order. If a member doesn't respond, the process has other members probe it, then suspects it and
+// disseminates that. A suspect that doesn't refute in time is declared dead. Updates are piggybacked on probes and,
+// while there are any, sent in short gossip messages. A process sends a bounded number of bytes per second, regardless
+// of the size of the fleet.
 //
-// A member that answers others but not this process has a faulty path to this process: it stays alive, and the event
-// MemberOneWay says in which direction the path is cut.
+// A member that responds to other members but not to this process has a faulty path to this process. It stays alive,
+// and the event MemberOneWay reports in which direction the path is cut.
 //
-// Time passes through the arguments only, and must not go back. Not synchronized.
+// Time is passed in through arguments only and must not go back. Not synchronized.
 class Membership
 {
 public:
@@ -73,48 +77,51 @@
 
     // Commands.
 
-    // Does what is due. To be called every 100 ms or so; after a longer gap than `pauseThreshold` this process takes
-    // itself for paused: it accuses nobody for what it missed, and makes itself known again.
+    // Performs all work that is due. Should be called about every 100 ms. After a gap longer than `pauseThreshold`,
+    // this process considers itself paused: it suspects no member for missed responses, and requests a new exchange of
+    // lists.
     std::vector<OutgoingMessage> tick(Instant now);
 
-    // Takes in a message from a member and returns what to send in turn. `from` is where the sender listens.
+    // Handles a message from a member. Returns the messages to send in response. `from` is the address at which the
+    // sender listens.
     std::vector<OutgoingMessage> receive(const Endpoint &from, const MembershipMessage &message, Instant now);
 
-    // Says how far this process has applied the configuration, and whether it serves.
+    // Sets the offset up to which this process has applied the configuration, and whether it serves.
     void updateSelf(Offset applied, bool ready);
 
-    // Announces that this process leaves. It stays a member until it ends.
+    // Announces that this process is leaving. It stays a member until it ends.
     void leave(Instant now);
 
-    // Replaces the hints from the VM list. VMs that aren't named count as leaving; no entries at all means no hints.
+    // Replaces the hints from the VM list. VMs that aren't listed count as leaving; an empty list means that there are
+    // no hints.
     void setVmHints(std::unordered_map<VmName, VmHint> hints);
 
-    // Returns the member or seed to exchange whole lists with, if that is due now. The caller sends it
-    // exchangeRequest(), which the other side answers with respondToExchange(), and passes the response to
-    // mergeExchange(). An response describes as many members as the limits allow; an asker that still knows fewer asks
-    // another one soon.
+    // Returns the member or seed to exchange whole lists with, if an exchange is due. The caller sends it
+    // exchangeRequest(), the peer responds with respondToExchange(), and the caller passes the response to
+    // mergeExchange(). A response describes as many members as the limits allow; a process that still knows fewer soon
+    // queries another one.
     std::optional<Endpoint> exchangeDue(Instant now);
     MemberExchange respondToExchange(const std::vector<MemberUpdate> &request, Instant now);
     void mergeExchange(const MemberExchange &response, Instant now);
 
-    // Replaces the peer addresses to join through, of which the first `preferred` are asked before the others.
+    // Replaces the peer addresses to join through, of which the first `preferred` are queried before the others.
     void setSeeds(std::vector<Endpoint> seeds, std::size_t preferred);
 
-    // Returns what happened since the last call.
+    // Returns the events since the last call.
     std::vector<MembershipEvent> takeEvents();
 
     // Queries.
 
-    // Returns every member known, this process first. Those taken for dead stay listed as such for forgetDeadAfter.
+    // Returns all members, this process first. Dead members stay listed as such for forgetDeadAfter.
     const std::vector<Member> &members() const;
 
-    // Returns this process's state of every member, in brief, with its own description.
+    // Returns this process's state of every member without descriptions, except for its own.
     std::vector<MemberUpdate> exchangeRequest() const;
 
     // Returns true while no other member is known to be alive.
     bool isAlone() const;
 
-    // Returns the time since any message came from a member.
+    // Returns the time since the last message from any member.
     Duration timeSinceLastMessage(Instant now) const;
 
 private:
@@ -122,7 +129,7 @@
         std::uint64_t number = 0;
         Incarnation subject = 0;
         Instant started;
-        Duration waited {}; // since it started, without the time that this process was held up
+        Duration waited {}; // since it started, not counting the time during which this process was paused
         int stage = 0;
         bool respondedIndirectly = false;
         bool receivedFromThisProcess = false;
@@ -185,9 +192,9 @@
     std::uint64_t m_nextNumber = 1;
     std::size_t m_nextSuspect = 0;
     bool m_started = false;
-    bool m_outdated = false; // paused for so long that the own list may name the forgotten
-    bool m_hasUnknownMembers = false; // gossip spoke of members that this process doesn't know
-    double m_availableDescriptions = 0; // members that may be described to askers, as of m_availableDescriptionsAt
+    bool m_outdated = false; // paused for so long that the list may contain members that others have forgotten
+    bool m_hasUnknownMembers = false; // gossip mentioned members that this process doesn't know
+    double m_availableDescriptions = 0; // token bucket, as of m_availableDescriptionsAt
     Instant m_availableDescriptionsAt {};
     Instant m_startedAt {};
     Instant m_lastTick {};
@@ -196,7 +203,7 @@
     Instant m_nextGossip {};
     Instant m_nextSweep {};
     Instant m_nextSeed {};
-    std::map<Endpoint, Instant> m_seedRequestTimes; // when each was asked last
+    std::map<Endpoint, Instant> m_seedRequestTimes; // time of the last query of each seed
     Instant m_nextExchange {};
     Instant m_nextEarlyExchange {};
 };
--- a/include/mulberryplank/policy/membershipmessage.h
+++ b/include/mulberryplank/policy/membershipmessage.h
@@ -9,54 +9,55 @@
 namespace mulberryplank
 {
 
-// Orders what is said of one incarnation. Only the member itself raises its counter: to refute an accusation, to leave,
-// or when it becomes ready or stops being so.
+// Orders updates about one incarnation. Only the member itself increments its counter: to refute a suspicion, to leave,
+// or when its readiness changes.
 using StateCounter = std::uint32_t;
 
-// What never changes within one process run. Shared, since thousands of updates speak of the same member.
+// The properties that never change while a process runs. Shared, since thousands of updates refer to the same member.
 struct MemberDescription {
     VmName vm;
     Endpoint peer;
     Endpoint caller;
     FailureDomain failureDomain;
-    std::uint32_t capacity = 1'000; // Member::capacity
+    std::uint32_t capacity = 1'000; // as Member::capacity
 };
 
-// What one member says of another, or of itself.
+// The state of a member as reported by another member or by itself.
 struct MemberUpdate {
     Incarnation incarnation = 0;
     MemberStatus status = MemberStatus::Alive;
     StateCounter counter = 0;
-    Offset applied = 0; // only ever rises, whatever the counter
+    Offset applied = 0; // never decreases, regardless of the counter
     bool ready = false;
-    std::shared_ptr<const MemberDescription> description; // in news of members that the receiver may not know
+    std::shared_ptr<const MemberDescription> description; // in updates about members that the receiver may not know
 };
 
-// Returns the most bytes that `update` takes when encoded.
+// Returns an upper bound of the encoded size of `update` in bytes.
 std::size_t encodedSizeBound(const MemberUpdate &update);
 
-// What one member answers to another that tells it which members it knows.
+// The response to a member that has sent the list of the members it knows.
 struct MemberExchange {
-    std::vector<MemberUpdate> updates; // what differs or is missing there, of the latter perhaps only a part
-    std::uint32_t liveCount = 0; // of the members that the one who answers knows
+    std::vector<MemberUpdate>
+        updates; // the members that differ or are missing in that list; of the missing ones possibly only some
+    std::uint32_t liveCount = 0; // of the members that the responding process knows
 };
 
 enum class MembershipKind : std::uint8_t {
-    Probe = 1, // to be answered at once
+    Probe = 1, // requires an immediate response
     ProbeResponse,
-    IndirectProbe, // asks the receiver to probe `subject` for the sender
-    IndirectResponse, // `subject` answered the receiver's indirect probe
-    AddressReassigned, // `subject` doesn't run at this address any more; the sender does
+    IndirectProbe, // requests that the receiver probe `subject` for the sender
+    IndirectResponse, // `subject` responded to the receiver's indirect probe
+    AddressReassigned, // the sender has replaced `subject` at this address
     Gossip, // only carries updates
 };
 
 struct MembershipMessage {
     MembershipKind kind = MembershipKind::Gossip;
-    std::uint64_t number = 0; // of the probe; its answer bears the same
-    Incarnation subject = 0; // who is probed
-    Endpoint subjectPeer; // IndirectProbe: where the subject listens
-    Incarnation origin = 0; // on whose behalf the subject is probed
-    bool receivedFromOrigin = false; // answers: the subject has heard from the origin recently
+    std::uint64_t number = 0; // of the probe; its response has the same
+    Incarnation subject = 0; // the member that is probed
+    Endpoint subjectPeer; // IndirectProbe: the address at which the subject listens
+    Incarnation origin = 0; // the member on whose behalf the subject is probed
+    bool receivedFromOrigin = false; // responses: the subject has received a message from the origin recently
     MemberUpdate sender;
     std::uint32_t liveCount = 0; // of the members that the sender knows
     std::vector<MemberUpdate> updates;
--- a/include/mulberryplank/policy/peerchoice.h
+++ b/include/mulberryplank/policy/peerchoice.h
@@ -12,18 +12,18 @@
 namespace mulberryplank
 {
 
-// Remembers which processes gave no answer, or not what they were asked for, a moment ago: each question to one that is
-// silent costs its time limit, and members are known to be dead only after some seconds. Not synchronized.
+// Remembers the processes that recently didn't respond, or responded without what was requested. Each request to an
+// unresponsive process costs the full timeout, and dead members are detected only after some seconds. Not synchronized.
 class RecentlyFailedPeers
 {
 public:
-    // `lifetime`: how long a process is remembered.
+    // `lifetime`: how long a failure is remembered.
     explicit RecentlyFailedPeers(Duration lifetime);
 
-    // A process didn't help.
+    // Records a failed request to a process.
     void note(Incarnation peer, Instant now);
 
-    // Returns whether that is remembered of a process.
+    // Returns whether a process failed within the lifetime.
     bool contains(Incarnation peer, Instant now) const;
 
 private:
@@ -31,9 +31,9 @@
     std::unordered_map<Incarnation, Instant> m_failedAt;
 };
 
-// Returns whom to ask for a list of targets: one of `ingressProxies`, which follow the targets already, where any isn't
-// among `failedPeers`, else one of `members`; never `self` nor the dead, and none of `failedPeers` unless they all are.
-// Nothing: there is nobody to ask.
+// Returns the member to request a list of targets from, or nothing if there is none. Selects one of `ingressProxies`,
+// which already follow the targets, if any of them isn't among `failedPeers`, else one of `members`. Never selects
+// `self` or a dead member, and selects one of `failedPeers` only if all candidates are among them.
 std::optional<Member> choosePeerForTargetList(const std::vector<Member> &ingressProxies,
                                               const std::vector<Member> &members,
                                               Incarnation self,
@@ -41,10 +41,11 @@
                                               Instant now,
                                               std::mt19937_64 &random);
 
-// Returns whom of `candidates` to ask for a configuration newer than `version`: one that says to have it, where there
-// are any, else any that isn't dead; never `self`, and none of `failedPeers` unless they all are. Of two drawn at
-// random the stronger one is taken: a configuration of 300 KB keeps the slowest VMs' links busy for a quarter of a
-// second, and all processes that missed it ask at once. Nothing: there is nobody to ask.
+// Returns which of `candidates` to request a configuration newer than `version` from, or nothing if there is none.
+// Prefers members that report a newer one to the others. Never selects `self` or a dead member, and selects one of
+// `failedPeers` only if all candidates are among them. Draws two members at random and takes the one with the higher
+// capacity: a configuration of 300 KB occupies the links of the slowest VMs for a quarter of a second, and all
+// processes that missed it request it at once.
 std::optional<Member> choosePeerForUpdate(std::vector<Member> candidates,
                                           Incarnation self,
                                           std::uint64_t version,
--- a/include/mulberryplank/policy/placementindex.h
+++ b/include/mulberryplank/policy/placementindex.h
@@ -11,9 +11,9 @@
 namespace mulberryplank
 {
 
-// Keeps the assignedProxies of every service up to date as members and services change. At any time it holds exactly
-// what assignedProxies() returns for the same members, but a change of a member costs in proportion to the services
-// that it touches, plus one score for each service when a member comes. Not synchronized.
+// Keeps the assigned proxies of every service up to date as members and services change. Always holds exactly what
+// assignedProxies() returns for the same members. A change of a member costs time in proportion to the services that it
+// affects, plus one score per service when a member joins. Not synchronized.
 class PlacementIndex
 {
 public:
@@ -24,29 +24,29 @@
 
     // Commands.
 
-    // Takes the members as they are now. Returns the services whose assignedProxies are others than before, or are
-    // reached elsewhere, in order of name; a member that has merely applied more counts for none.
+    // Replaces the members. Returns the services whose assigned proxies or their addresses have changed, ordered by
+    // name. A change of a member's applied offset alone doesn't count.
     std::vector<ServiceName> setMembers(const std::vector<Member> &members);
 
-    // Adds a service, or sets its size. Returns true if its assignedProxies have changed.
+    // Adds a service or sets its size. Returns true if its assigned proxies have changed.
     bool setService(const ServiceName &name, const ServiceSize &size);
 
-    // Forgets a service.
+    // Removes a service.
     void removeService(const ServiceName &name);
 
     // Queries.
 
-    // Returns the service's assignedProxies, the strongest claim first; none for a service that isn't known.
+    // Returns a service's assigned proxies, highest score first; none for an unknown service.
     std::vector<Member> assignedProxiesOf(const ServiceName &name) const;
 
-    // Returns the services known, in order of name.
+    // Returns all services, ordered by name.
     std::vector<ServiceName> services() const;
 
 private:
     struct Entry;
     struct PlacedService;
 
-    // What scoring needs of a member, packed: placing a service goes over all of them.
+    // The data of a member that scoring needs, stored compactly because placing a service iterates over all members.
     struct Slot {
         std::uint64_t vmHash = 0;
         double capacity = 1;
@@ -67,7 +67,7 @@
 
     PlacementSettings m_settings;
     std::uint64_t m_round = 0;
-    std::unordered_map<VmName, std::unique_ptr<Entry>> m_entries; // the members that may be chosen at present
+    std::unordered_map<VmName, std::unique_ptr<Entry>> m_entries; // the members that are currently eligible
     std::map<FailureDomain, std::size_t> m_domainNumbers;
     std::vector<Domain> m_domains;
     std::map<ServiceName, PlacedService> m_services;
--- a/include/mulberryplank/policy/pollerchoice.h
+++ b/include/mulberryplank/policy/pollerchoice.h
@@ -9,12 +9,12 @@
 namespace mulberryplank
 {
 
-// Returns the proxies that read the platform's log for the others: in each failure domain the `perDomain` alive members
-// that rendezvous hashing ranks first, in an order that all members agree on. A member that comes or goes changes its
-// own domain's choice by one at most.
+// Returns the proxies that read the platform's log for the other proxies: in each failure domain the `perDomain` alive
+// members that rank highest by rendezvous hashing. All members agree on the order. A member that joins or leaves
+// changes at most one of its own domain's pollers.
 std::vector<VmName> pollers(const std::vector<Member> &members, std::size_t perDomain);
 
-// Returns the place of `self` among pollers(), or nothing if it isn't one of them.
+// Returns the rank of `self` among pollers(), or nothing if it isn't one of them.
 std::optional<std::size_t> pollerRank(const VmName &self, const std::vector<Member> &members, std::size_t perDomain);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/recordtail.h
+++ b/include/mulberryplank/policy/recordtail.h
@@ -10,26 +10,26 @@
 namespace mulberryplank
 {
 
-// Consecutive records of the config stream on their way from one reader to another.
+// Consecutive records of the config stream, as sent from one process to another.
 struct ConfigNews {
     Offset from = 0; // of the first record
-    RecordDigest before {}; // of the record before `from`: tells whether both readers follow the same log
+    RecordDigest before {}; // of the record before `from`; shows whether both processes follow the same log
     std::vector<std::string> records;
 
     bool operator==(const ConfigNews &) const = default;
 };
 
-// The last records that a reader has applied, kept for peers that lag behind it a little. Bounded in bytes. Not
+// Keeps the last records that a process has applied, for peers that are slightly behind. Bounded in bytes. Not
 // synchronized.
 class RecordTail
 {
 public:
     explicit RecordTail(std::size_t maxBytes);
 
-    // Adds the record at `offset`. A record that doesn't follow the one before it begins a new tail.
+    // Adds the record at `offset`. A record that isn't the direct successor of the previous one starts a new tail.
     void add(Offset offset, const RecordDigest &before, std::string record);
 
-    // Returns the records from `from` on, or nothing when the tail doesn't reach back so far.
+    // Returns the records from `from` on, or nothing if the tail doesn't reach back that far.
     std::optional<ConfigNews> since(Offset from) const;
 
 private:
--- a/include/mulberryplank/policy/routetable.h
+++ b/include/mulberryplank/policy/routetable.h
@@ -13,16 +13,16 @@
 namespace mulberryplank
 {
 
-// What may be done again with a request when its outcome is unknown.
+// Whether a request may be repeated when its outcome is unknown.
 enum class RouteKind : std::uint8_t {
-    Idempotent, // may run more than once
-    NonIdempotent, // may run at most once
-    LargeResponse, // idempotent, and the answer is large enough for its way through the network to matter
+    Idempotent, // may be executed more than once
+    NonIdempotent, // must be executed at most once
+    LargeResponse, // idempotent, with responses so large that their transfer time over the network matters
 };
 
 std::string_view toString(RouteKind kind);
 
-// Returns true if a request of this kind may run more than once.
+// Returns true if a request of this kind may be executed more than once.
 constexpr bool isIdempotent(RouteKind kind)
 {
     return kind != RouteKind::NonIdempotent;
@@ -41,16 +41,16 @@
     std::string name;
     std::string pathPrefix; // begins and ends with a slash
     RouteKind kind = RouteKind::NonIdempotent;
-    Duration timeout {}; // the longest that a request may be kept waiting
-    Duration targetLatency {}; // within which an answer is worth most
-    std::uint32_t priority = 0; // 0 is the most urgent
-    std::uint32_t maxAttempts = 1; // targets that one request may be sent to
+    Duration timeout {}; // the maximum time that a request may take
+    Duration targetLatency {}; // the latency within which a response is worth most
+    std::uint32_t priority = 0; // 0 is the highest
+    std::uint32_t maxAttempts = 1; // maximum number of targets that one request may be sent to
     std::vector<WeightedService> services; // at least one
 
     bool operator==(const HostRoute &) const = default;
 };
 
-// What callers may send and how long they may take for it.
+// Limits on what callers may send and how long they may take.
 struct RequestLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 64ULL << 20;
@@ -60,24 +60,24 @@
     bool operator==(const RequestLimits &) const = default;
 };
 
-// A service as the configuration describes it. Its targets announce themselves.
+// A service as the configuration describes it. Its targets register themselves.
 struct RoutedService {
     ServiceName name;
     std::string healthPath;
-    std::uint32_t maxConnections = 0; // to one target, over all callers
+    std::uint32_t maxConnections = 0; // to one target, for all callers together
 
     bool operator==(const RoutedService &) const = default;
 };
 
-// One version of the configuration, complete. Immutable once built, and shared by everything that works by it.
+// One complete version of the configuration. Immutable once built, and shared by all its users.
 struct RouteTable {
-    std::uint64_t version = 0; // grows with every change
+    std::uint64_t version = 0; // increases with every change
     std::map<std::string, std::vector<HostRoute>, std::less<>> hosts;
     std::vector<RoutedService> services;
     RequestLimits limits;
 
-    // Returns the route with the longest prefix that `path` (a query may follow) begins with, or nullptr. The case of
-    // `host` and a port behind it don't matter. The route lives as long as the table.
+    // Returns the route with the longest prefix of `path`, or nullptr. `path` may contain a query, which is ignored, as
+    // are the case of `host` and a port in it. The route is valid as long as the table.
     const HostRoute *find(std::string_view host, std::string_view path) const;
 };
 
--- a/include/mulberryplank/policy/snapshotparts.h
+++ b/include/mulberryplank/policy/snapshotparts.h
@@ -11,11 +11,11 @@
 namespace mulberryplank
 {
 
-// Returns the records that carry a snapshot through the log, each within MaxRecordSize.
+// Returns the log records that a snapshot is split into, each within MaxRecordSize.
 std::vector<std::string> splitSnapshot(Offset next, std::string_view snapshot);
 
-// The records that carry a table's snapshot through the log, the same as splitSnapshot() gives. They are encoded one at
-// a time and what has been taken is freed. The table may change meanwhile. Not synchronized.
+// Produces the same log records of a table's snapshot as splitSnapshot(). Records are encoded one at a time, and the
+// data of those already returned is freed. The table may change meanwhile. Not synchronized.
 class SnapshotParts
 {
 public:
@@ -23,10 +23,10 @@
     SnapshotParts(const SnapshotParts &) = delete;
     SnapshotParts &operator=(const SnapshotParts &) = delete;
 
-    // Returns the next record. Only to be called while taken() is below count().
+    // Returns the next record. Must be called only while taken() is below count().
     std::string takeNext();
 
-    // Returns ConfigTable::nextOffset() of the table as it was.
+    // Returns ConfigTable::nextOffset() of the table at the time of construction.
     Offset next() const;
 
     std::size_t count() const;
@@ -39,15 +39,15 @@
     std::size_t m_taken = 0;
 };
 
-// Returns the offset of the snapshot that `record` is the last part of, or nothing if it is something else.
+// Returns the offset of the snapshot of which `record` is the last part, or nothing if it is any other record.
 std::optional<Offset> snapshotEndedBy(std::string_view record);
 
-// Puts snapshots together again from the records of the log. Parts of several publishers may be mixed: the same offset
+// Reassembles snapshots from the records of the log. Parts from several publishers may be mixed, since the same offset
 // gives the same bytes. Not synchronized.
 class SnapshotAssembler
 {
 public:
-    // Takes one record; what doesn't parse is left out.
+    // Adds one record. Records that can't be parsed are ignored.
     void add(std::string_view record);
 
     // Returns the complete snapshot with the highest offset, or nothing.
@@ -57,7 +57,8 @@
     };
     std::optional<Snapshot> newest() const;
 
-    // Returns the same in the pieces that it came in, and forgets everything, so that it is in memory once.
+    // Returns the same snapshot in the pieces in which it arrived, and clears all data, so that it isn't in memory
+    // twice.
     std::optional<std::vector<std::string>> takeNewest();
 
 private:
@@ -65,7 +66,7 @@
         std::size_t count = 0;
         std::map<std::size_t, std::string> data;
     };
-    using Key = std::pair<Offset, std::string>; // offset and digest of the whole
+    using Key = std::pair<Offset, std::string>; // offset and digest of the whole snapshot
 
     bool isComplete(const Key &key, const Parts &parts) const;
 
--- a/include/mulberryplank/policy/storeretry.h
+++ b/include/mulberryplank/policy/storeretry.h
@@ -7,18 +7,18 @@
 namespace mulberryplank
 {
 
-// How often a store that doesn't answer is tried again. Calls are billed, failed ones as well, and a fleet in which
-// each process tries for itself bills the square of its size in an outage.
+// The intervals at which a store that doesn't respond is tried again. Calls are billed, including failed ones. A fleet
+// in which each process retried on its own would be billed in proportion to the square of its size during an outage.
 struct StoreRetrySettings {
-    // After the initialDelay failure, and the least pause: maxDelay failures are of one call.
+    // After a single failure, and the minimum delay. Typically only one call fails.
     Duration initialDelay = Millis(250);
-    // The pause of a process that nobody else tries for, from its second failure on. With it, a change made as the
-    // store returns is known here a second before it has to be in force.
+    // The delay, from the second failure on, of a process with which no other process shares its retries. It lets the
+    // process learn of a change made as the store recovers one second before that change has to be in force.
     Duration maxDelay = Millis(500);
-    // How many calls all processes that share the tries make in a second. The initialDelay one that succeeds tells the
-    // others, so a store that answers any of them again is found within some hundred milliseconds.
+    // How many calls per second all processes that share their retries make together. As soon as one of them succeeds,
+    // it notifies the others, so a recovered store is detected within some hundred milliseconds.
     double sharedCallsPerSecond = 8;
-    // The longest pause of one of those, so that a hint that is lost costs no more.
+    // The maximum delay of a process that shares its retries. It bounds the cost of a lost hint.
     Duration maxSharedDelay = Seconds(5);
 };
 
@@ -26,17 +26,18 @@
 class StoreRetry
 {
 public:
-    // `phase`, from 0 to 1, keeps processes apart that failed in the same moment.
+    // `phase`, from 0 to 1, spreads out processes that failed at the same time.
     StoreRetry(StoreRetrySettings settings, double phase);
 
-    // Returns true if the store may be called now. `sharingProcesses`: how many processes, this one among them, try for
-    // each other at the moment; 0: nobody else does, or this one is who the others rely on.
+    // Returns true if the store may be called now. `sharingProcesses` is how many processes, including this one,
+    // currently share their retries. 0: no other process retries for this one, or this one is the designated reader.
     bool mayTry(Instant now, std::size_t sharingProcesses) const;
 
-    // A call has failed.
+    // Must be called after a failed call.
     void onFailure(Instant now);
 
-    // A call was answered, or another process says that the store answers: it may be called at once.
+    // Must be called after a successful call, or when another process reports that the store responds. The store may
+    // then be called at once.
     void reset();
 
 private:
@@ -44,7 +45,7 @@
 
     const StoreRetrySettings m_settings;
     const double m_phase;
-    int m_failures = 0; // one after the other
+    int m_failures = 0; // consecutive
     Instant m_failedAt {};
 };
 
--- a/src/policy/compression.cpp
+++ b/src/policy/compression.cpp
@@ -16,12 +16,12 @@
 namespace
 {
 
-// zstd's own default.
+// zstd's default.
 constexpr int CompressionLevel = 3;
 
-// A match may lie as far back as the base's first byte, so that is what the window has to span.
+// A match may start as far back as the base's first byte, so the window has to span both.
 constexpr int MinWindowBits = 17;
-constexpr int MaxWindowBits = 27; // base and bytes of the largest size
+constexpr int MaxWindowBits = 27; // base and bytes of the maximum size
 
 int windowBits(std::string_view bytes, std::string_view base)
 {
@@ -50,7 +50,7 @@
     ZSTD_CCtx *compressor = context.get();
     internal::checked(ZSTD_CCtx_setParameter(compressor, ZSTD_c_compressionLevel, internal::CompressionLevel));
     internal::checked(ZSTD_CCtx_setParameter(compressor, ZSTD_c_windowLog, internal::windowBits(bytes, base)));
-    // A receiver whose base is another one than the sender takes it for would see it by this.
+    // Lets the receiver detect that its base differs from the one that the sender used.
     internal::checked(ZSTD_CCtx_setParameter(compressor, ZSTD_c_checksumFlag, 1));
     if (!base.empty()) {
         internal::checked(ZSTD_CCtx_setParameter(compressor, ZSTD_c_enableLongDistanceMatching, 1));
@@ -67,7 +67,7 @@
 {
     const unsigned long long size = ZSTD_getFrameContentSize(compressed.data(), compressed.size());
     if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > MaxDecompressedSize) {
-        return failure(ErrorKind::BadConfiguration, "packed bytes: no size, or too large");
+        return failure(ErrorKind::BadConfiguration, "compressed data has no size or is too large");
     }
     const std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> context(ZSTD_createDCtx(), ZSTD_freeDCtx);
     if (!context) {
@@ -82,7 +82,7 @@
     const std::size_t decompressed =
         ZSTD_decompressDCtx(decompressor, bytes.data(), bytes.size(), compressed.data(), compressed.size());
     if (ZSTD_isError(decompressed) != 0 || decompressed != size) {
-        return failure(ErrorKind::BadConfiguration, "packed bytes: can't be unpacked");
+        return failure(ErrorKind::BadConfiguration, "compressed data can't be decompressed");
     }
     return bytes;
 }
--- a/src/policy/compressiontest.cpp
+++ b/src/policy/compressiontest.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Routes as operators write them: names that can't be told from each other's, among words that repeat.
+// Returns routes as operators write them: unpredictable names among repeated words.
 std::string routes(std::size_t count, int weight)
 {
     std::mt19937_64 random(1);
@@ -28,17 +28,17 @@
 
 TEST_GROUP(Compression) {};
 
-TEST(Compression, comesBackAsItWas)
+TEST(Compression, decompressRestoresTheInput)
 {
-    CHECK_TRUE(
-        rc::check("packed, then unpacked with the same base", [](const std::string &bytes, const std::string &base) {
-            const Result<std::string> back = decompress(compress(bytes, base), base);
-            RC_ASSERT(back.has_value());
-            RC_ASSERT(*back == bytes);
-        }));
+    CHECK_TRUE(rc::check("compressed, then decompressed with the same base",
+                         [](const std::string &bytes, const std::string &base) {
+                             const Result<std::string> back = decompress(compress(bytes, base), base);
+                             RC_ASSERT(back.has_value());
+                             RC_ASSERT(*back == bytes);
+                         }));
 }
 
-// Each change used to send the whole: some 830 KB for 5,000 routes.
+// Guards against sending the whole configuration on each change, some 830 KB for 5,000 routes.
 TEST(Compression, oneChangedWeightOfFiveThousandRoutesTakesLessThanAKilobyte)
 {
     const std::string before = routes(5'000, 1);
@@ -49,13 +49,13 @@
     CHECK_TRUE(decompress(compressed, before) == after);
 }
 
-TEST(Compression, withoutABaseRoutesTakeAQuarterAtMost)
+TEST(Compression, routesWithoutABaseTakeAQuarterAtMost)
 {
     const std::string bytes = routes(5'000, 1);
     CHECK_TRUE(compress(bytes, "").size() < bytes.size() / 4);
 }
 
-TEST(Compression, anotherBaseIsNoticed)
+TEST(Compression, wrongBaseIsDetected)
 {
     const std::string before = routes(5'000, 1);
     const std::string compressed = compress(routes(5'000, 7), before);
@@ -65,13 +65,14 @@
     CHECK_FALSE(decompress(compressed, "").has_value());
 }
 
-TEST(Compression, bytesOfAnyKindAreRefusedOrUnpacked)
+TEST(Compression, arbitraryBytesAreRejectedOrDecompressed)
 {
-    CHECK_TRUE(rc::check("no bytes make it fail otherwise", [](const std::string &bytes, std::size_t at, char with) {
-        static_cast<void>(decompress(bytes, ""));
-        std::string compressed = compress(routes(20, 1), "");
-        compressed[at % compressed.size()] = with;
-        const Result<std::string> back = decompress(compressed, "");
-        RC_ASSERT(!back || *back == routes(20, 1));
-    }));
+    CHECK_TRUE(rc::check("arbitrary bytes are rejected or decompressed",
+                         [](const std::string &bytes, std::size_t at, char with) {
+                             static_cast<void>(decompress(bytes, ""));
+                             std::string compressed = compress(routes(20, 1), "");
+                             compressed[at % compressed.size()] = with;
+                             const Result<std::string> back = decompress(compressed, "");
+                             RC_ASSERT(!back || *back == routes(20, 1));
+                         }));
 }
--- a/src/policy/configurationsender.cpp
+++ b/src/policy/configurationsender.cpp
@@ -15,7 +15,7 @@
     m_compressed.clear();
 }
 
-// Compressed once for all who ask.
+// Each variant is compressed only once for all receivers.
 const ConfigurationSender::Compressed &ConfigurationSender::compressedFor(std::uint64_t base)
 {
     const std::uint64_t known = base == m_previousDigest ? base : 0;
--- a/src/policy/configurationsendertest.cpp
+++ b/src/policy/configurationsendertest.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Returns a configuration of which nothing can be left out, of `size` bytes, with its last byte `last`.
+// Returns an incompressible configuration of `size` bytes that ends in `last`.
 std::string configuration(std::size_t size, char last)
 {
     std::string bytes;
@@ -23,7 +23,7 @@
 
 constexpr std::size_t ThreePieces = 3 * ConfigurationPieceSize - 1'000;
 
-// Returns the compressed configuration that `sender` gives to one who has `base`.
+// Returns the compressed configuration that `sender` sends to a process that has `base`.
 std::string allPieces(ConfigurationSender &sender, std::uint64_t base)
 {
     ConfigurationTransfer transfer;
@@ -38,7 +38,7 @@
 
 TEST_GROUP(ConfigurationSender) {};
 
-TEST(ConfigurationSender, whoeverHasAnotherConfigurationGetsAllOfIt)
+TEST(ConfigurationSender, receiverWithAnotherConfigurationGetsAllOfIt)
 {
     ConfigurationSender sender;
     sender.replace(configuration(ThreePieces, 'a'), 1);
@@ -49,7 +49,7 @@
     CHECK_TRUE(decompress(compressed, "") == configuration(ThreePieces, 'b'));
 }
 
-TEST(ConfigurationSender, whoeverHasThePreviousOneGetsWhatDiffers)
+TEST(ConfigurationSender, receiverWithPreviousConfigurationGetsTheDifference)
 {
     const std::string previous = configuration(ThreePieces, 'a');
     const std::uint64_t base = configurationDigest(previous);
@@ -63,7 +63,7 @@
     CHECK_TRUE(decompress(piece.bytes, previous) == configuration(ThreePieces, 'b'));
 }
 
-TEST(ConfigurationSender, twoProcessesGiveTheSamePieces)
+TEST(ConfigurationSender, twoProcessesSendTheSamePieces)
 {
     ConfigurationSender one;
     one.replace(configuration(ThreePieces, 'a'), 1);
--- a/src/policy/configurationtransfertest.cpp
+++ b/src/policy/configurationtransfertest.cpp
@@ -32,7 +32,7 @@
 
 TEST_GROUP(ConfigurationTransfer) {};
 
-TEST(ConfigurationTransfer, piecesBecomeTheConfiguration)
+TEST(ConfigurationTransfer, reassemblesConfigurationFromPieces)
 {
     const std::string bytes = bytesOf(TwoPieces, 'a');
     ConfigurationTransfer transfer;
@@ -42,8 +42,8 @@
     CHECK_EQUAL(0, transfer.next().version);
 }
 
-// Failure: a large configuration never arrives over a narrow link.
-TEST(ConfigurationTransfer, goesOnFromWhatHasArrivedAfterAFailure)
+// Guards against restarting transfers: a large configuration then never arrives over a narrow link.
+TEST(ConfigurationTransfer, continuesAfterTheReceivedPiecesAfterAFailure)
 {
     const std::string bytes = bytesOf(TwoPieces, 'a');
     ConfigurationTransfer transfer;
@@ -53,7 +53,7 @@
     CHECK_TRUE(transfer.take(pieceOf(bytes, 3, transfer.next())) == bytes);
 }
 
-TEST(ConfigurationTransfer, newerConfigurationTakesThePlaceOfTheOneUnderWay)
+TEST(ConfigurationTransfer, newerConfigurationReplacesTheOneInTransfer)
 {
     const std::string older = bytesOf(TwoPieces, 'a');
     const std::string newer = bytesOf(10, 'b');
@@ -62,7 +62,7 @@
     CHECK_TRUE(transfer.take(pieceOf(newer, 4, transfer.next())) == newer);
 }
 
-TEST(ConfigurationTransfer, olderConfigurationIsTakenOnlyAfterAFailure)
+TEST(ConfigurationTransfer, olderConfigurationIsAcceptedOnlyAfterAFailure)
 {
     const std::string newer = bytesOf(TwoPieces, 'a');
     const std::string older = bytesOf(10, 'b');
@@ -74,7 +74,7 @@
     CHECK_TRUE(transfer.take(pieceOf(older, 3, transfer.next())) == older);
 }
 
-TEST(ConfigurationTransfer, piecesThatCannotBeRightAreDropped)
+TEST(ConfigurationTransfer, invalidPiecesAreDiscarded)
 {
     const std::string bytes = bytesOf(TwoPieces, 'a');
     ConfigurationTransfer transfer;
@@ -90,7 +90,7 @@
     CHECK_EQUAL(0, transfer.next().version);
 }
 
-TEST(ConfigurationTransfer, bytesThatDoNotMatchTheirDigestAreDropped)
+TEST(ConfigurationTransfer, bytesThatDoNotMatchTheirDigestAreDiscarded)
 {
     const std::string bytes = bytesOf(10, 'a');
     ConfigurationTransfer transfer;
@@ -100,10 +100,10 @@
     CHECK_TRUE(transfer.take(pieceOf(bytes, 3, transfer.next())) == bytes);
 }
 
-// Answers come from processes that have different versions, some fail, some come twice or late.
-TEST(ConfigurationTransfer, whatArrivesIsWholeAndArrivesInTheEnd)
+// Responses come from processes with different versions; some fail, some arrive twice or late.
+TEST(ConfigurationTransfer, configurationIsCompleteAndEventuallyArrives)
 {
-    CHECK_TRUE(rc::check("a configuration is whole, and arrives once a source keeps answering", [] {
+    CHECK_TRUE(rc::check("a configuration is complete, and arrives once a source keeps responding", [] {
         const std::map<std::uint64_t, std::string> versions {
             { 1, bytesOf(TwoPieces, 'a') },
             { 2, bytesOf(ConfigurationPieceSize, 'b') },
--- a/src/policy/fleetseedstest.cpp
+++ b/src/policy/fleetseedstest.cpp
@@ -30,7 +30,7 @@
 
 TEST_GROUP(FleetSeeds) {};
 
-TEST(FleetSeeds, eachFailureDomainHasAsManyWhateverItsSize)
+TEST(FleetSeeds, numberOfSeedsPerFailureDomainDoesNotDependOnItsSize)
 {
     std::vector<Member> members;
     for (Incarnation i = 1; i <= 90; ++i) {
@@ -40,14 +40,14 @@
     CHECK_EQUAL(4, seedsAmong(members, 3));
 }
 
-TEST(FleetSeeds, strongestAreSeeds)
+TEST(FleetSeeds, membersWithHighestCapacityAreSeeds)
 {
     const std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500), memberAt("hall", 3) };
     CHECK_TRUE(isAmongStrongest(members, 2, 1));
     CHECK_FALSE(isAmongStrongest(members, 1, 1));
 }
 
-TEST(FleetSeeds, placeOfADeadOrLeavingSeedIsTaken)
+TEST(FleetSeeds, deadOrLeavingSeedIsReplaced)
 {
     for (const MemberStatus status : { MemberStatus::Dead, MemberStatus::Leaving }) {
         std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500) };
@@ -58,7 +58,7 @@
     }
 }
 
-TEST(FleetSeeds, seedsWithoutAMemberAreAbandoned)
+TEST(FleetSeeds, seedsWithoutAMemberAreStale)
 {
     std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2) };
     members[1].status = MemberStatus::Dead;
@@ -70,15 +70,15 @@
     CHECK_TRUE(stale.front() == VmName("vm-2"));
 }
 
-// Failure: newcomers find nobody, though the fleet runs.
-TEST(FleetSeeds, whoKnowsNoSeedTakesNoneOut)
+// Guards against removing all seeds, after which starting processes can't find the running fleet.
+TEST(FleetSeeds, noSeedIsStaleIfNoneIsKnown)
 {
     const std::vector<Member> members { memberAt("hall", 1) };
     CHECK_EQUAL(0, staleSeeds({ { VmName("vm-2"), {}, {} }, { VmName("vm-3"), {}, {} } }, members).size());
 }
 
-// Failure: most processes of a fleet that starts read the configuration from the store, each for itself.
-TEST(FleetSeeds, strongestReadsForItsFailureDomainBeforeAnybodyThereIsReady)
+// Guards against a starting fleet in which most processes read the configuration from the store themselves.
+TEST(FleetSeeds, designatedReaderIsChosenBeforeAnyMemberIsReady)
 {
     std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500), memberAt("other", 3, 900) };
     members[2].ready = true;
--- a/src/policy/ingresschoice.cpp
+++ b/src/policy/ingresschoice.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t Tiers = 3;
 
-// Returns how far a member is from being fit: 0 is fit, Tiers never.
+// Returns the tier of a member: 0 is preferred, members in Tiers are never selected.
 std::size_t ingressTier(const Member &member)
 {
     switch (member.status) {
--- a/src/policy/ingresschoicetest.cpp
+++ b/src/policy/ingresschoicetest.cpp
@@ -36,7 +36,7 @@
 
 TEST_GROUP(IngressChoice) {};
 
-TEST(IngressChoice, strongestOfEachDomainAreNamed)
+TEST(IngressChoice, membersWithHighestCapacityOfEachDomainAreSelected)
 {
     const std::vector<Member> members = { member("a1", "a", 100),
                                           member("a2", "a", 500),
@@ -48,7 +48,7 @@
     CHECK_FALSE(contains(chosen, "a1"));
 }
 
-TEST(IngressChoice, largerDomainGetsMoreEntries)
+TEST(IngressChoice, largerDomainGetsMoreIngressProxies)
 {
     std::vector<Member> members;
     for (int index = 0; index < 32; ++index) {
@@ -57,7 +57,7 @@
     CHECK_EQUAL(4, ingressMembers(members, MinTwoOrAnEighth).size());
 }
 
-TEST(IngressChoice, membersThatLeaveOrAreNotReadyAreNamedOnlyWhenThereAreNoOthers)
+TEST(IngressChoice, leavingOrNotReadyMembersAreSelectedOnlyWithoutOthers)
 {
     std::vector<Member> members = { member("a", "d", 100), member("b", "d", 100), member("c", "d", 100) };
     members[0].status = MemberStatus::Leaving;
@@ -71,9 +71,9 @@
     CHECK_EQUAL(0, ingressMembers(members, MinTwoOrAnEighth).size());
 }
 
-TEST(IngressChoice, allAgreeWhateverTheOrderTheyKnowTheMembersIn)
+TEST(IngressChoice, selectionDoesNotDependOnTheOrderOfMembers)
 {
-    CHECK_TRUE(rc::check("agreed", [] {
+    CHECK_TRUE(rc::check("selection is independent of the order", [] {
         std::vector<Member> members;
         const auto count = *rc::gen::inRange(1, 40);
         for (int index = 0; index < count; ++index) {
--- a/src/policy/logposition.cpp
+++ b/src/policy/logposition.cpp
@@ -14,7 +14,7 @@
            + std::to_string(page.next);
 }
 
-// A page that skips a record would lead to a table that lacks an edit, without anybody noticing.
+// A page that skips a record would silently produce a table that lacks an edit.
 bool isContiguous(const LogPage &page)
 {
     for (std::size_t index = 0; index < page.records.size(); ++index) {
@@ -85,7 +85,7 @@
     m_newestSeen = now;
 }
 
-// Once half of the kept records are older than the newest snapshot, expiry is in sight.
+// Records are close to expiry when half of those that the log keeps are older than the newest snapshot.
 bool SnapshotSchedule::isNearExpiry(const LogPage &log) const
 {
     return !m_newestAt || m_newest < log.first + (log.next - log.first) / 2;
--- a/src/policy/logpositiontest.cpp
+++ b/src/policy/logpositiontest.cpp
@@ -23,8 +23,8 @@
     CHECK_FALSE(isDue(0, 0, 0, Seconds(0)));
 }
 
-// Nobody edits for hours, and the log forgets records by age, snapshots as well.
-// A proxy that starts then would find an empty log and take it for an empty table.
+// The log expires records by age, including snapshots, even if there are no edits for hours. A proxy that starts then
+// would find an empty log and assume an empty table.
 TEST(SnapshotSchedule, snapshotIsRenewedEvenWithoutEdits)
 {
     m_schedule.seen(100, 7, m_start);
@@ -57,8 +57,8 @@
 
 TEST_GROUP(SnapshotParts) {};
 
-// Two proxies publish at once, and one of them stops half way.
-// Parts that are taken together by their order alone would give a mixture.
+// Two proxies publish at once, and one of them stops half way. Combining parts by their order alone would produce a
+// mixture of both snapshots.
 TEST(SnapshotParts, newestCompleteSnapshotIsFoundAmongMixedParts)
 {
     const std::string older(1'500'000, 'o');
--- a/src/policy/memberlist.cpp
+++ b/src/policy/memberlist.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-// How strong a status is against another one with the same counter: an accusation stands until its subject raises the
-// counter.
+// Returns the precedence of a status over another one with the same counter: a suspicion holds until its subject
+// increments the counter.
 int precedence(MemberStatus status)
 {
     constexpr std::array<int, 4> Precedences { 0 /* Alive */, 2 /* Suspect */, 1 /* Leaving */, 3 /* Dead */ };
@@ -31,7 +31,7 @@
     return status == MemberStatus::Suspect || status == MemberStatus::Dead;
 }
 
-constexpr std::size_t MaxEvents = 10'000; // kept for a reader that doesn't come
+constexpr std::size_t MaxEvents = 10'000; // kept while they aren't retrieved
 
 } // namespace
 
@@ -89,7 +89,7 @@
     setStatus(*entry, update.status);
     if (update.status == MemberStatus::Dead) {
         entry->deadline = now + m_forgetDeadAfter;
-        addEvent(entry->leaving ? Event::MemberLeft : Event::MemberDead, *entry, "told by others");
+        addEvent(entry->leaving ? Event::MemberLeft : Event::MemberDead, *entry, "reported by other members");
     } else if (before == MemberStatus::Dead) {
         addEvent(Event::MemberJoined, *entry, "back");
     }
@@ -99,7 +99,7 @@
     return true;
 }
 
-// An accusation against this process: refute it, under the same incarnation, by a counter that overrides it.
+// Refutes a suspicion against this process, under the same incarnation, with a counter that overrides it.
 bool MemberList::mergeSelf(const MemberUpdate &update)
 {
     Entry &own = self();
@@ -112,7 +112,8 @@
     return true;
 }
 
-// An accusation without a description is of somebody unknown or forgotten: of no use. Neither is news of the dead.
+// An update without a description refers to a member that is unknown or forgotten, so it is of no use. Neither are
+// updates about dead members.
 bool MemberList::insert(const MemberUpdate &update, bool disseminate, Instant now)
 {
     if (!update.description || update.status == MemberStatus::Dead) {
@@ -167,7 +168,7 @@
     } else {
         queue(entry, false);
     }
-    addEvent(Event::MemberSuspected, entry, isolatedSuspicion ? "this process hears nobody" : "");
+    addEvent(Event::MemberSuspected, entry, isolatedSuspicion ? "this process receives no messages" : "");
 }
 
 void MemberList::expireSuspicions(Instant now)
@@ -191,8 +192,8 @@
     }
 }
 
-// What goes wrong without this: a process that heard nothing for a while takes everyone else for dead, and says so to
-// all as soon as it hears again. One would see the whole fleet suspected at once, by one member.
+// Without this, a process that received no messages for a while would declare all other members dead, and disseminate
+// that as soon as it receives messages again. The whole fleet would be suspected at once, by one member.
 void MemberList::withdrawIsolatedSuspicions()
 {
     const std::vector<Incarnation> suspected = std::move(m_isolatedSuspicions);
@@ -202,7 +203,7 @@
         if (entry && entry->isolatedSuspicion) {
             entry->isolatedSuspicion = false;
             setStatus(*entry, entry->leaving ? MemberStatus::Leaving : MemberStatus::Alive);
-            addEvent(Event::MemberJoined, *entry, "suspicion withdrawn: this process had heard nobody");
+            addEvent(Event::MemberJoined, *entry, "suspicion withdrawn: this process had received no messages");
         }
     }
 }
--- a/src/policy/memberlistqueries.cpp
+++ b/src/policy/memberlistqueries.cpp
@@ -85,7 +85,7 @@
         }
         index = pick(random);
     }
-    // Few are of the kind wanted: go on from here one by one.
+    // Only few members qualify: search linearly from here.
     while ((m_entries[index].state.status == MemberStatus::Dead) != dead) {
         index = index + 1 < m_entries.size() ? index + 1 : 1;
     }
--- a/src/policy/membership.cpp
+++ b/src/policy/membership.cpp
@@ -11,13 +11,15 @@
 
 constexpr Seconds SweepInterval { 30 };
 constexpr Seconds RecentWindow { 2 };
-constexpr std::size_t MaxSuspectProbes = 4; // of this process, in one probe interval
-constexpr double MaxDeadProbeChance = 0.25; // of this process, in one probe interval
-constexpr int OneWayThreshold = 3; // successive probes answered through others only, before the path counts as cut
-constexpr int IsolatedSuspicionFactor = 3; // a process that hears nobody waits so much longer before it judges
+constexpr std::size_t MaxSuspectProbes = 4; // by this process per probe interval
+constexpr double MaxDeadProbeChance = 0.25; // by this process per probe interval
+constexpr int OneWayThreshold = 3; // successive probes with indirect responses only, before the path counts as cut
+constexpr int IsolatedSuspicionFactor =
+    3; // a process that receives no messages waits this many times longer before it declares members dead
 constexpr Millis UsualTickGap { 250 };
 
-// Members that others suspectSubject, and the dead, have their own probes. Who hears nobody goes on asking everyone.
+// Suspects of other members and dead members are probed separately. A process that receives no messages continues to
+// probe all members.
 bool isProbed(const MemberList::Entry &entry)
 {
     return entry.isolatedSuspicion || entry.state.status == MemberStatus::Alive
@@ -53,10 +55,10 @@
     return out;
 }
 
-// What goes wrong without this: a process that was paused, or starved of processor time, finds its probes unanswered
-// and its suspicions run out, and accuses members that answered in time. One would see it suspectSubject many members
-// in the moment it resumes. The time that it was away is therefore not counted against anyone. After a long gap it also
-// asks for what it missed. That others took it for dead meanwhile it learns from the answer to its next probe.
+// Without this, a process that was paused or starved of CPU time would find its probes without responses and its
+// suspects' deadlines expired, and would suspect many members that responded in time as soon as it resumes. The time of
+// the gap is therefore not counted against any member. After a long gap the process also requests the updates that it
+// missed. If other members declared it dead meanwhile, it learns so from the response to its next probe.
 void Membership::handleTickGap(Instant now)
 {
     if (!m_started) {
@@ -87,8 +89,8 @@
 
 void Membership::onMessageReceived(Instant now)
 {
-    // Probes from a time when this process heard nobody tell nothing about their subjects, although it hears again by
-    // the time that they end.
+    // Probes from a time when this process received no messages give no evidence about their subjects, even if it
+    // receives messages again by the time that they end.
     if (now - m_lastReceived >= m_settings.probeInterval * 2) {
         m_probes.clear();
     }
@@ -113,8 +115,9 @@
     probeDead(out);
 }
 
-// The dead are asked now and then, so that two parts of the fleet that had lost each other meet again. What goes wrong
-// without the share: in a large fleet everyone asks the same dead, and the process that now runs at its address drowns.
+// Dead members are probed occasionally, so that two partitions of the fleet find each other again. The rate is shared
+// by the fleet. Otherwise all processes of a large fleet would probe the same dead members and overload the process
+// that has taken over such an address.
 void Membership::probeDead(std::vector<OutgoingMessage> &out)
 {
     const auto dead = static_cast<double>(m_list.entries().size() - m_list.liveCount());
@@ -183,7 +186,7 @@
     }
 }
 
-// Reached without a direct answer.
+// Called only for probes without a direct response.
 void Membership::finishProbe(const Probe &probe, Instant now)
 {
     Entry *entry = m_list.find(probe.subject);
@@ -194,11 +197,12 @@
         suspectSubject(*entry, probe, now);
         return;
     }
-    m_probeOrder.push_back(probe.subject); // look again soon
+    m_probeOrder.push_back(probe.subject); // probe it again soon
     if (++entry->indirectOnlyProbes == OneWayThreshold) {
         m_list.addEvent(Event::MemberOneWay,
                         *entry,
-                        probe.receivedFromThisProcess ? "not heard by this process" : "doesn't hear this process");
+                        probe.receivedFromThisProcess ? "its messages don't reach this process"
+                                                      : "messages from this process don't reach it");
     } else if (entry->indirectOnlyProbes > OneWayThreshold) {
         entry->indirectOnlyProbes = OneWayThreshold;
         m_probeOrder.pop_back();
@@ -210,7 +214,7 @@
     const bool isIsolated = m_lastReceived < probe.started;
     const Duration time = suspicionTime(entry) * (isIsolated ? IsolatedSuspicionFactor : 1);
     if (!isIsolated && receivedRecently(entry, now)) {
-        m_list.addEvent(Event::MemberOneWay, entry, "speaks but answers nobody");
+        m_list.addEvent(Event::MemberOneWay, entry, "sends messages but responds to no member");
     }
     entry.suspectedByThisProcess = true;
     m_list.suspect(entry, now + time, isIsolated);
@@ -227,13 +231,13 @@
         Entry *entry = m_list.find(incarnation);
         if (entry->deadline == Instant::max()) {
             entry->deadline = now + suspicionTime(*entry);
-            m_list.addEvent(Event::MemberSuspected, *entry, "told by others");
+            m_list.addEvent(Event::MemberSuspected, *entry, "reported by other members");
         }
     }
 }
 
-// Long enough for the accusation to reach its subject and for the refutation to come back by gossip, which takes longer
-// in a larger fleet.
+// Returns the time for the suspicionTimeout's gossip to reach its subject and for the refutation to return, which takes
+// longer in a larger fleet.
 Duration Membership::suspicionTime(const Entry &entry) const
 {
     const double digits = std::log10(static_cast<double>(m_list.liveCount()) + 1);
@@ -267,8 +271,8 @@
     return 0;
 }
 
-// What goes wrong without this: who joins late isn't probed by anyone until their rounds end, which takes an hour in a
-// large fleet. One would see restarted members that die unnoticed.
+// Without this, a member that joins late wouldn't be probed by any process until their rounds end, which takes an hour
+// in a large fleet. Deaths of restarted members would go undetected.
 void Membership::insertJoinedMembers()
 {
     for (const Incarnation incarnation : m_list.takeJoined()) {
--- a/src/policy/membershipexchange.cpp
+++ b/src/policy/membershipexchange.cpp
@@ -32,9 +32,9 @@
     return now - m_startedAt < m_settings.catchUpDuration;
 }
 
-// To one that has just started every member is new, and the others know most of them. What goes wrong without this: a
-// fleet that starts at once passes each member's name on from everybody to everybody, a dozen times, and messages that
-// matter wait behind that.
+// All members are new to a process that has just started, while the other members have most of them already. Without
+// this, all processes of a fleet that starts at once would disseminate each member's name a dozen times, and delay
+// important messages.
 void Membership::merge(const MemberUpdate &update, Instant now)
 {
     const bool disseminate = !justStarted(now) || m_list.find(update.incarnation) != nullptr;
@@ -46,9 +46,9 @@
     return justStarted(now) ? m_settings.catchUpInterval : m_settings.earlyExchangeInterval;
 }
 
-// What goes wrong without this: processes that joined through different seeds form a fleet each, and two parts that
-// lost each other for longer than the dead are remembered never meet again. One would see two lists that share nobody.
-// Nor is one seed requested again and again while it is busy with all who start at the same time.
+// Without this, processes that joined through different seeds would form separate fleets, and partitions that were
+// disconnected for longer than dead members are remembered would never merge. Their lists would have no member in
+// common. A seed isn't queried repeatedly while it is busy with many processes that start at the same time.
 std::optional<Endpoint> Membership::chooseUnknownSeed(Instant now)
 {
     std::set<Endpoint> knownPeers;
@@ -93,7 +93,7 @@
     return request;
 }
 
-// Returns how many members may be described to an asker now.
+// Returns how many members may be described to a requesting process now.
 std::size_t Membership::availableDescriptions(Instant now)
 {
     const double since = m_availableDescriptionsAt == Instant {} ? 0 : toSeconds(now - m_availableDescriptionsAt);
@@ -115,7 +115,8 @@
     MemberExchange response;
     response.liveCount = static_cast<std::uint32_t>(m_list.liveCount());
     const std::vector<Entry> &entries = m_list.entries();
-    // The own entry, which stands first, is told to everybody; of the others everybody gets a different part.
+    // The own entry, which is the first one, is sent to all processes. Each process gets a different part of the
+    // others.
     const std::size_t others = entries.size() - 1;
     const std::size_t first = others == 0 ? 0 : std::uniform_int_distribution<std::size_t>(0, others - 1)(m_random);
     std::size_t described = 0;
@@ -123,7 +124,7 @@
     for (std::size_t index = 0; index < entries.size(); ++index) {
         const Entry &entry = index == 0 ? entries.front() : entries[1 + (first + index - 1) % others];
         const bool isSelf = index == 0;
-        // A list that is too old would bring back members that all others have forgotten.
+        // An outdated list would bring back members that all other processes have forgotten.
         if (entry.isolatedSuspicion || (m_outdated && !isSelf)) {
             continue;
         }
@@ -151,7 +152,7 @@
     m_outdated = false;
     for (const MemberUpdate &update : response.updates) {
         if (wasAlone) {
-            m_list.merge(update, false, now); // everybody else knows them
+            m_list.merge(update, false, now); // all other members have them already
         } else {
             merge(update, now);
         }
@@ -162,7 +163,7 @@
     compareLiveCount(response.liveCount);
 }
 
-// Another member knows so many. Whoever knows notably fewer asks for the rest.
+// Schedules an exchange if another member reports notably more live members than this process has.
 void Membership::compareLiveCount(std::size_t elsewhere)
 {
     const auto own = static_cast<double>(m_list.liveCount());
--- a/src/policy/membershipreceive.cpp
+++ b/src/policy/membershipreceive.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t MaxRelays = 256; // a flood of requests must not cost memory
+constexpr std::size_t MaxRelays = 256; // bounds the memory that a flood of requests can take
 
 } // namespace
 
@@ -63,7 +63,7 @@
     response.subject = message.subject;
     const Entry *origin = m_list.find(message.origin == 0 ? message.sender.incarnation : message.origin);
     response.receivedFromOrigin = origin && receivedRecently(*origin, now);
-    // A member that others accuse has to learn of it to refute it, and this may be its only way to.
+    // A suspected member has to learn of the suspicion to refute it, and this may be its only way to.
     const Entry *sender = m_list.find(message.sender.incarnation);
     if (sender && (sender->state.status == MemberStatus::Suspect || sender->state.status == MemberStatus::Dead)) {
         response.updates.push_back(sender->state);
@@ -124,8 +124,8 @@
     }
 }
 
-// Two processes can't listen at one address, so the one that this process knew there has ended. What goes wrong without
-// this: a VM that is replaced within seconds stays listed under both incarnations until the old one's suspicion ends.
+// Two processes can't listen at the same address, so the former one has ended. Without this, a VM that is replaced
+// within seconds would stay listed under both incarnations until the former one's suspicion expires.
 void Membership::handleAddressReassigned(const MembershipMessage &message, Instant now)
 {
     Entry *former = m_list.find(message.subject);
--- a/src/policy/membershiptest.cpp
+++ b/src/policy/membershiptest.cpp
@@ -13,14 +13,14 @@
 {
 
 constexpr Seconds SettleTime { 30 };
-constexpr Seconds DetectionLimit { 15 }; // until everyone takes a dead member of a small fleet for dead
+constexpr Seconds DetectionLimit { 15 }; // until all processes of a small fleet have declared a member dead
 
 bool isSuspicionEvent(Event event)
 {
     return event == Event::MemberSuspected || event == Event::MemberDead;
 }
 
-// Every two running processes take each other for alive, or leaving.
+// Returns whether all running processes list each other as alive or leaving.
 bool allSeeEachOtherAlive(VirtualFleet &fleet)
 {
     std::size_t running = 0;
@@ -35,7 +35,7 @@
     return true;
 }
 
-// One fault of a random kind, and what it leaves behind.
+// Injects one random fault with its after-effects.
 void injectFault(VirtualFleet &fleet, std::set<std::pair<std::size_t, std::size_t>> &cuts)
 {
     const auto index = *rc::gen::inRange<std::size_t>(0, fleet.size());
@@ -52,12 +52,12 @@
     case 3: // cuts one direction of a link
         cuts.insert({ index, *rc::gen::inRange<std::size_t>(0, fleet.size()) });
         break;
-    case 4: // deafens a process
+    case 4: // cuts all inbound links of a process
         for (std::size_t from = 0; from < fleet.size(); ++from) {
             cuts.insert({ from, index });
         }
         break;
-    default: // parts the fleet in two
+    default: // partitions the fleet in two
         for (std::size_t from = 0; from < index; ++from) {
             for (std::size_t to = index; to < fleet.size(); ++to) {
                 cuts.insert({ from, to });
@@ -72,10 +72,11 @@
 
 TEST_GROUP(Membership) {};
 
-// Failure: a healthy proxy stays out of service for good, or a restarted one is taken for the run before it.
-TEST(Membership, whatEverHappenedAllLiveMembersFindEachOtherAgainAndTheDeadStayDead)
+// Guards against a healthy proxy that stays out of service for good, and against a restarted one that is mistaken for
+// its predecessor.
+TEST(Membership, membersAgreeAfterRandomFaultsAndDeadMembersStayDead)
 {
-    CHECK_TRUE(rc::check("finally in agreement", [] {
+    CHECK_TRUE(rc::check("members agree in the end", [] {
         VirtualFleet fleet(*rc::gen::inRange<std::size_t>(2, 10), {}, *rc::gen::arbitrary<std::uint64_t>());
         std::set<std::pair<std::size_t, std::size_t>> cuts;
         fleet.blocked = [&cuts](std::size_t from, std::size_t to) {
@@ -90,7 +91,7 @@
         }
         cuts.clear();
         fleet.loss = 0;
-        fleet.start(0); // a seed, so that a process that had joined nobody yet can
+        fleet.start(0); // a seed, so that a process that hasn't joined yet can
         fleet.run(Seconds(30) + SettleTime);
         RC_ASSERT(allSeeEachOtherAlive(fleet));
         for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -105,9 +106,9 @@
     }));
 }
 
-TEST(Membership, deadMemberIsNoticedByAllWithinTheBound)
+TEST(Membership, deadMemberIsDetectedByAllWithinTheLimit)
 {
-    CHECK_TRUE(rc::check("noticed in time", [] {
+    CHECK_TRUE(rc::check("detected in time", [] {
         VirtualFleet fleet(*rc::gen::inRange<std::size_t>(3, 24), {}, *rc::gen::arbitrary<std::uint64_t>());
         fleet.loss = *rc::gen::element(0.0, 0.05);
         fleet.startAll();
@@ -124,8 +125,8 @@
     }));
 }
 
-// Failure: a proxy that was replaced dies unnoticed, for up to an hour in a large fleet.
-TEST(Membership, memberThatJoinedLateIsNoticedWhenItDies)
+// Guards against a replaced proxy whose death goes undetected, in a large fleet for up to an hour.
+TEST(Membership, deathOfALateJoinerIsDetected)
 {
     VirtualFleet fleet(200, {}, 1);
     fleet.startAll();
@@ -139,8 +140,8 @@
     LONGS_EQUAL(0, fleet.countSeeingAlive(7));
 }
 
-// Failure: healthy proxies are taken out of service again and again on a network that loses some datagrams.
-TEST(Membership, nobodyIsSuspectedInAnHourAtFivePercentLoss)
+// Guards against healthy proxies that are repeatedly taken out of service on a network that loses some datagrams.
+TEST(Membership, noMemberIsSuspectedInAnHourAtFivePercentLoss)
 {
     VirtualFleet fleet(32, {}, 1);
     std::size_t suspicionEvents = 0;
@@ -154,8 +155,8 @@
     LONGS_EQUAL(0, suspicionEvents);
 }
 
-// Failure: two proxies can't talk, and one of them drops out of service though everyone else reaches it.
-TEST(Membership, oneWayCutBetweenTwoMembersIsReportedAndKillsNobody)
+// Guards against taking a proxy out of service because two proxies can't communicate, while all others reach it.
+TEST(Membership, oneWayCutBetweenTwoMembersIsReportedWithoutSuspicion)
 {
     VirtualFleet fleet(16, {}, 2);
     fleet.startAll();
@@ -173,13 +174,13 @@
     };
     fleet.run(std::chrono::minutes(2));
     LONGS_EQUAL(0, suspicionEvents);
-    CHECK_TRUE(
-        (reports
-         == std::set<std::string> { "3 on vm-5: doesn't hear this process", "5 on vm-3: not heard by this process" }));
+    CHECK_TRUE((reports
+                == std::set<std::string> { "3 on vm-5: messages from this process don't reach it",
+                                           "5 on vm-3: its messages don't reach this process" }));
 }
 
-// Failure: a proxy that was taken for dead during a pause stays out of service after it resumed.
-TEST(Membership, resumedProcessIsBackWithinSeconds)
+// Guards against a proxy that was declared dead during a pause and stays out of service after it resumed.
+TEST(Membership, resumedProcessIsAliveAgainWithinSeconds)
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.maxQueuedMessages = 0;
@@ -194,8 +195,8 @@
     }
 }
 
-// Failure: a proxy on a VM short of processor time accuses others again and again.
-TEST(Membership, processThatIsHeldUpAccusesNobody)
+// Guards against a proxy on a VM with too little CPU time that repeatedly suspects other members.
+TEST(Membership, pausedProcessSuspectsNoMember)
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
@@ -207,7 +208,7 @@
         }
     };
     for (int i = 0; i < 50; ++i) {
-        // Right after it sent something, a probe more often than not.
+        // Right after it sent something, usually a probe.
         const std::uint64_t sent = fleet.node(4).messagesSent;
         while (fleet.node(4).messagesSent == sent) {
             fleet.run(Millis(1));
@@ -218,8 +219,8 @@
     LONGS_EQUAL(0, suspected.size());
 }
 
-// Failure: a proxy that resumes declares one dead that had refuted the suspicion long ago.
-TEST(Membership, suspicionDoesNotRunOutDuringAPause)
+// Guards against a proxy that resumes and declares a member dead that refuted the suspicion long ago.
+TEST(Membership, suspicionDoesNotExpireDuringAPause)
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
@@ -242,8 +243,8 @@
     LONGS_EQUAL(0, deaths);
 }
 
-// Failure: after two regions had lost each other, their proxies never list each other again.
-TEST(Membership, partsThatLostEachOtherMeetAgainWithoutSeeds)
+// Guards against proxies of two regions that never list each other again after the regions were disconnected.
+TEST(Membership, partitionsMergeAgainWithoutSeeds)
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
@@ -261,8 +262,8 @@
     CHECK_TRUE(allSeeEachOtherAlive(fleet));
 }
 
-// Failure: for a while after a VM was replaced, callers are sent to an address under a run that has ended.
-TEST(Membership, formerRunIsGoneSoonAfterTheNextStartsAtItsAddress)
+// Guards against callers that are sent to a replaced VM's address under the incarnation that has ended.
+TEST(Membership, replacedIncarnationIsDeadSoonAfterRestartAtItsAddress)
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
@@ -278,8 +279,9 @@
     }
 }
 
-// Failure: a proxy whose inbound link came back reports the whole fleet dead, or stays out of service itself.
-TEST(Membership, deafMemberIsNoticedAccusesNobodyAndIsBackWithinSeconds)
+// Guards against a proxy whose inbound link recovers and that reports the whole fleet dead, or stays out of service
+// itself.
+TEST(Membership, memberWithoutInboundLinkIsDetectedSuspectsNoneAndRecoversWithinSeconds)
 {
     VirtualFleet fleet(16, {}, 4);
     fleet.startAll();
@@ -305,7 +307,7 @@
     LONGS_EQUAL(7, suspected.size());
 }
 
-TEST(Membership, leavingIsKnownToAllWithoutAnAccusationAndItsEndIsNoDeath)
+TEST(Membership, leavingReachesAllWithoutSuspicionAndItsEndIsNoDeath)
 {
     VirtualFleet fleet(16, {}, 5);
     fleet.startAll();
@@ -359,7 +361,8 @@
     CHECK_TRUE(largest <= MembershipSettings {}.updateBudget + encodedSizeBound({}));
 }
 
-// Failure: after a loss of all power gateways go by a few members each for seconds, and seeds' links are full.
+// Guards against gateways that know only a few members for seconds after a total power loss while the seeds' links are
+// full.
 TEST(Membership, fleetThatStartsAtOnceKnowsNearlyAllWithinSeconds)
 {
     constexpr std::size_t Processes = 450;
@@ -373,7 +376,7 @@
     CHECK_TRUE(known > Processes * Processes * 95 / 100);
 }
 
-TEST(Membership, askersGetAPartOfTheListWhenManyAskAtOnce)
+TEST(Membership, requestersGetAPartOfTheListWhenManyRequestAtOnce)
 {
     constexpr std::size_t Processes = 100;
     MembershipSettings settings;
@@ -392,7 +395,7 @@
     CHECK_EQUAL(100, contacted.respondToExchange({}, now + Millis(1'200)).updates.size());
 }
 
-TEST(Membership, preferredSeedsAreAskedFirstAndNoneTwiceAtOnce)
+TEST(Membership, preferredSeedsAreQueriedFirstAndNoneTwiceAtOnce)
 {
     MembershipSettings settings;
     settings.seeds = { { "10.0.0.1", 1 }, { "10.0.0.2", 1 }, { "10.0.0.3", 1 } };
@@ -414,12 +417,13 @@
     CHECK_TRUE(contacted[2] == settings.seeds[2]);
 }
 
-// Failure: for ten seconds after a loss of all power the gateways' own messages are most of what crosses their links.
-TEST(Membership, fleetThatStartsAtOnceSaysLittle)
+// Guards against gateways whose own messages are most of the traffic on their links for ten seconds after a total power
+// loss.
+TEST(Membership, fleetThatStartsAtOnceSendsFewBytes)
 {
     constexpr std::size_t Processes = 450;
     constexpr std::size_t Envelope = 150; // bytes of a message besides its updates
-    constexpr std::size_t MaxBytes = 10 * 7'000; // in ten seconds, at 7 KB a second for all control
+    constexpr std::size_t MaxBytes = 10 * 7'000; // in ten seconds, at 7 KB per second for all control traffic
     VirtualFleet fleet(Processes, {}, 8);
     fleet.sizeOf = [](const MembershipMessage &message) {
         std::size_t size = Envelope;
--- a/src/policy/peerchoice.cpp
+++ b/src/policy/peerchoice.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Removes those for which `isUndesired` holds, unless it holds for all.
+// Removes the candidates for which `isUndesired` is true, unless it is true of all.
 template<typename Predicate>
 void removeUnlessAll(std::vector<Member> &candidates, Predicate isUndesired)
 {
--- a/src/policy/peerchoicetest.cpp
+++ b/src/policy/peerchoicetest.cpp
@@ -26,8 +26,8 @@
     std::mt19937_64 random { 7 };
 };
 
-// Failure: one process goes by an old configuration for five seconds.
-TEST(PeerChoice, whoHasTheVersionIsAsked)
+// Guards against a process that keeps using an old configuration for five seconds.
+TEST(PeerChoice, peerWithTheNewVersionIsChosen)
 {
     for (int i = 0; i < 20; ++i) {
         const auto peer = choosePeerForUpdate(
@@ -36,12 +36,12 @@
     }
 }
 
-TEST(PeerChoice, whereNobodyHasANewerOneAnybodyIsAsked)
+TEST(PeerChoice, anyPeerIsChosenIfNoneHasANewerVersion)
 {
     CHECK(choosePeerForUpdate({ member(1, 5), member(2, 4) }, 9, 5, failedPeers, now, random).has_value());
 }
 
-TEST(PeerChoice, strongOnesAreAskedMoreOften)
+TEST(PeerChoice, peersWithHigherCapacityAreChosenMoreOften)
 {
     int strong = 0;
     for (int i = 0; i < 400; ++i) {
@@ -55,14 +55,14 @@
     CHECK(strong < 350);
 }
 
-TEST(PeerChoice, neitherItselfNorTheDeadAreAsked)
+TEST(PeerChoice, neitherSelfNorDeadMembersAreChosen)
 {
     Member dead = member(1, 9);
     dead.status = MemberStatus::Dead;
     CHECK_FALSE(choosePeerForUpdate({ dead, member(9, 9) }, 9, 5, failedPeers, now, random).has_value());
 }
 
-TEST(PeerChoice, whoGaveNoAnswerIsNotAskedAgainForAWhile)
+TEST(PeerChoice, failedPeerIsNotChosenWithinTheLifetime)
 {
     failedPeers.note(1, now);
     for (int i = 0; i < 20; ++i) {
@@ -73,13 +73,13 @@
     CHECK_FALSE(failedPeers.contains(1, now + Seconds(3)));
 }
 
-TEST(PeerChoice, whereAllGaveNoAnswerTheyAreAskedAgain)
+TEST(PeerChoice, failedPeerIsChosenIfAllFailed)
 {
     failedPeers.note(1, now);
     CHECK_EQUAL(1, choosePeerForUpdate({ member(1, 5) }, 9, 5, failedPeers, now, random)->incarnation);
 }
 
-TEST(PeerChoice, listsAreAskedForAtEntriesAndElsewhereOnceNoneHelps)
+TEST(PeerChoice, targetListsAreRequestedElsewhereOnlyIfAllIngressProxiesFailed)
 {
     const std::vector<Member> ingressProxies { member(1, 5), member(9, 5) };
     const std::vector<Member> members { member(1, 5), member(2, 5), member(9, 5) };
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -17,8 +17,8 @@
 namespace internal
 {
 
-// The offset that half of the ready members have reached. What goes wrong with the highest offset instead: one member
-// that follows a wrong log makes everyone else look behind, and gets all the traffic.
+// Returns the offset that half of the ready members have reached. With the highest offset instead, one member that
+// follows a wrong log would make all others appear behind and get all the traffic.
 Offset medianApplied(const std::vector<Member> &members)
 {
     std::vector<Offset> offsets;
@@ -35,7 +35,7 @@
     return *middle;
 }
 
-// Returns how far a member is from being fit to carry: 0 is fit, Ineligible never.
+// Returns the eligibility tier of a member: 0 is best, members in tier Ineligible are never assigned a service.
 constexpr int Ineligible = 3;
 int eligibilityTier(const Member &member, Offset median, Offset maxLag)
 {
@@ -65,7 +65,8 @@
     }
 };
 
-// While a VM is listed under two incarnations, a service that counted both would have one carrier fewer than it seems.
+// While a VM is listed under two incarnations, counting both would leave a service with one assigned proxy fewer than
+// intended.
 std::vector<const Member *> onePerVm(const std::vector<const Member *> &members)
 {
     boost::unordered_flat_map<std::string_view, const Member *, TextHash> byVm(members.size());
@@ -88,7 +89,7 @@
     return XXH3_64bits(text.data(), text.size());
 }
 
-// The VM is hashed, not the incarnation, so that a restart moves nothing.
+// Hashes the VM and not the incarnation, so that a restart doesn't change the placement.
 double placementScore(std::uint64_t serviceHash, std::uint64_t vmHash, double capacity)
 {
     const std::array<std::uint64_t, 2> input { serviceHash, vmHash };
--- a/src/policy/placementchoice.h
+++ b/src/policy/placementchoice.h
@@ -6,11 +6,11 @@
 
 #include "mulberryplank/policy/placement.h"
 
-// The rules by which assignedProxies are chosen, shared by the answer from scratch and the one that is kept up to date.
+// The rules by which proxies are assigned, shared by assignedProxies() and PlacementIndex.
 namespace mulberryplank::internal
 {
 
-// A member with its claim on a service. Of two equal claims the VM first in order of name wins.
+// A member with its score for a service. Of two equal scores the VM that is first by name wins.
 struct Candidate {
     const Member *member = nullptr;
     double score = 0;
@@ -26,17 +26,18 @@
 
 std::uint64_t placementHash(const std::string &text);
 
-// Weighted rendezvous hashing: the member with the highest score wins as often as its capacity says.
+// Returns the score of weighted rendezvous hashing: how often a member has the highest score is in proportion to its
+// capacity.
 double placementScore(std::uint64_t serviceHash, std::uint64_t vmHash, double capacity);
 
-// Returns the bestEligible members there are, one per VM: of a VM listed under two incarnations, the one with the
-// higher number, so that all choose the same one.
+// Returns the members of the best eligibility tier that has any, one per VM. Of a VM listed under two incarnations it
+// returns the one with the higher number, so that all processes choose the same one.
 std::vector<const Member *> bestEligible(const std::vector<Member> &members, const PlacementSettings &settings);
 
-// Returns how many assignedProxies a service of this size gets if there are so many members.
+// Returns how many proxies a service of this size is assigned, given enough members.
 std::size_t wantedProxyCount(const ServiceSize &size, const PlacementSettings &settings);
 
-// Returns the assignedProxies among the candidates, the strongest claim first.
+// Returns the assigned proxies among the candidates, highest score first.
 std::vector<Candidate> chooseProxies(std::vector<DomainCandidates> domains, // by value: they are reordered
                                      std::size_t wanted,
                                      const PlacementSettings &settings);
--- a/src/policy/placementindex.cpp
+++ b/src/policy/placementindex.cpp
@@ -11,13 +11,13 @@
 namespace internal
 {
 
-// A newcomer with any score gets a place.
+// The threshold while places are free: any score suffices.
 constexpr double AnyScore = -std::numeric_limits<double>::infinity();
 
-// No newcomer gets a place this way.
+// The threshold when no score suffices.
 constexpr double NoScore = std::numeric_limits<double>::infinity();
 
-// Returns true if the two say the same of where the member is and which process it is.
+// Returns true if both refer to the same process at the same addresses.
 bool hasSameAddresses(const Member &one, const Member &other)
 {
     return one.incarnation == other.incarnation && one.peer == other.peer && one.caller == other.caller;
@@ -25,13 +25,13 @@
 
 } // namespace internal
 
-// A member that may be chosen, with the services that it assignedServices.
+// An eligible member with the services that it is assigned.
 struct PlacementIndex::Entry {
     Member member;
     std::uint64_t vmHash = 0;
     double capacity = 1;
     std::size_t domain = 0;
-    std::uint64_t lastSeenRound = 0; // the round that last had it
+    std::uint64_t lastSeenRound = 0; // the last round that listed the member
     std::vector<PlacedService *> assignedServices;
 };
 
@@ -39,11 +39,11 @@
     ServiceName name;
     std::uint64_t hash = 0;
     ServiceSize size;
-    std::vector<Entry *> assignedProxies; // the strongest claim first
-    std::vector<double> domainThresholds; // the least score for a place in this domain; beyond the end: any
-    double restThreshold = internal::AnyScore; // the least score for a place that goes to any domain
-    bool dirty = false; // is to be placed again
-    bool changed = false; // its assignedProxies are others than were last reported
+    std::vector<Entry *> assignedProxies; // highest score first
+    std::vector<double> domainThresholds; // minimum score for a place in each domain; beyond the end: any
+    double restThreshold = internal::AnyScore; // minimum score for a place that is open to any domain
+    bool dirty = false; // has to be placed again
+    bool changed = false; // the assigned proxies differ from those last reported
 };
 
 PlacementIndex::PlacementIndex(PlacementSettings settings)
@@ -117,7 +117,7 @@
     return m_settings.capacity ? m_settings.capacity(member) : 1;
 }
 
-// Returns false if the member isn't there with the same claims, so that it has to be added.
+// Returns false if the member isn't present with the same domain and capacity and has to be added.
 bool PlacementIndex::updateExisting(const Member &member)
 {
     const auto found = m_entries.find(member.vm);
@@ -153,7 +153,7 @@
     }
 }
 
-// Takes the member's places. Services that it doesn't carry would choose the same assignedProxies without it.
+// Frees the member's places. Services that it isn't assigned would choose the same proxies without it.
 void PlacementIndex::removeMember(Entry &entry)
 {
     for (PlacedService *placed : entry.assignedServices) {
@@ -195,8 +195,8 @@
     }
 }
 
-// Returns false only if the service would choose the same assignedProxies with this member as without it. Equal scores
-// count as enough, since the order of the names decides between them.
+// Returns false only if the service would choose the same proxies with this member as without it. Equal scores count as
+// sufficient, since they are decided by the order of the names.
 bool PlacementIndex::mayBeAssigned(const PlacedService &placed, const Entry &entry) const
 {
     double inDomain = internal::AnyScore;
@@ -253,8 +253,8 @@
     setThresholds(placed, scores, wanted);
 }
 
-// The assignedProxies come the strongest first: in each domain the first ones have its reserved places, the others
-// those that go to any domain.
+// The assigned proxies are ordered by descending score. In each domain, the first ones have the domain's reserved
+// places and the others have places that are open to any domain.
 void PlacementIndex::setThresholds(PlacedService &placed, const std::vector<double> &scores, std::size_t wanted)
 {
     const double anyScore = internal::AnyScore;
--- a/src/policy/placementindextest.cpp
+++ b/src/policy/placementindextest.cpp
@@ -11,14 +11,14 @@
 namespace
 {
 
-// At full range from the first case on: in a fleet of one or two members nothing competes.
+// Uses the full range from the first case on: in a fleet of one or two members there is no competition for places.
 template<typename Number>
 Number anyFrom(Number least, Number end)
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(least, end));
 }
 
-// Few VMs, so that they leave and come back, and several may claim the same name.
+// Uses few VMs, so that they leave and return, and several members may have the same name.
 Member anyMember()
 {
     Member member;
@@ -64,7 +64,7 @@
     }
 }
 
-// One process is listed once under its incarnation, as MemberList guarantees.
+// Lists each process only once per incarnation, as MemberList guarantees.
 std::vector<Member> withoutRepeats(std::vector<Member> members)
 {
     const auto identity = [](const Member &member) {
@@ -91,10 +91,11 @@
 
 TEST_GROUP(PlacementIndex) {};
 
-// Failure: two proxies disagree for good on who carries a service; each refuses what the other sends.
-TEST(PlacementIndex, equalsTheAnswerFromScratchAfterAnyChangesAndNamesWhatChanged)
+// Guards against two proxies that permanently disagree on which proxies are assigned a service, so that each rejects
+// what the other sends.
+TEST(PlacementIndex, matchesAssignedProxiesAfterAnyChangesAndReportsWhatChanged)
 {
-    CHECK_TRUE(rc::check("index equals scratch", [] {
+    CHECK_TRUE(rc::check("index matches assignedProxies()", [] {
         const PlacementSettings settings = anySettings();
         PlacementIndex index(settings);
         std::vector<Member> members;
@@ -128,8 +129,9 @@
     }));
 }
 
-// Failure: with 3,600 VMs replaced a day every proxy tells all its services' assignedProxies anew each time.
-TEST(PlacementIndex, memberThatOnlyAppliesMoreOrCarriesNothingChangesNothing)
+// Guards against proxies that send updates about all their services' assigned proxies each time a VM is replaced, which
+// happens 3,600 times a day.
+TEST(PlacementIndex, changeOfOffsetOrOfAnUnassignedMemberChangesNothing)
 {
     PlacementIndex index({});
     std::vector<Member> members;
--- a/src/policy/placementtest.cpp
+++ b/src/policy/placementtest.cpp
@@ -49,9 +49,9 @@
 
 TEST_GROUP(Placement) {};
 
-TEST(Placement, setSpreadsOverDomainsWhateverTheOrderAndGrowsBySupersets)
+TEST(Placement, assignmentSpreadsOverDomainsRegardlessOfOrderAndGrowsBySupersets)
 {
-    CHECK_TRUE(rc::check("spread, agreed, nested", [] {
+    CHECK_TRUE(rc::check("spread, independent of the order, nested", [] {
         std::vector<Member> members = anyFleet();
         const auto targets = *rc::gen::inRange<std::size_t>(0, 60);
         const auto small = assignedProxies(PressDesk, members, {}, { targets });
@@ -75,9 +75,9 @@
     }));
 }
 
-TEST(Placement, memberThatGoesMovesAtMostItsOwnPlace)
+TEST(Placement, removedMemberMovesAtMostItsOwnPlace)
 {
-    CHECK_TRUE(rc::check("least movement", [] {
+    CHECK_TRUE(rc::check("minimal movement", [] {
         std::vector<Member> members = anyFleet();
         const auto before = vmsOf(assignedProxies(PressDesk, members, {}, { 8 }));
         const auto index = *rc::gen::inRange<std::size_t>(0, members.size());
@@ -89,10 +89,10 @@
     }));
 }
 
-// Failure: callers are sent to proxies that refuse them, or that apply rows of an hour ago.
-TEST(Placement, unfitMembersAreNamedOnlyWhenNobodyBetterIsLeft)
+// Guards against directing callers to proxies that reject them, or that apply rows that are an hour old.
+TEST(Placement, ineligibleMembersAreAssignedOnlyWithoutBetterOnes)
 {
-    CHECK_TRUE(rc::check("fit before unfit", [] {
+    CHECK_TRUE(rc::check("eligible before ineligible", [] {
         std::vector<Member> members = anyFleet();
         bool anyEligible = false;
         for (std::size_t i = 0; i < members.size(); ++i) {
@@ -108,7 +108,7 @@
     }));
 }
 
-TEST(Placement, memberBehindTheOthersIsLeftOutButOneAheadOfAllIsNoReference)
+TEST(Placement, laggingMemberIsLeftOutButOneAheadOfAllIsNotTheReference)
 {
     std::vector<Member> members;
     for (std::size_t i = 0; i < 6; ++i) {
@@ -121,7 +121,7 @@
     CHECK_FALSE(vms.count(members[0].vm) == 1);
 }
 
-TEST(Placement, answerNamesTheCallersFailureDomainFirst)
+TEST(Placement, responseListsTheCallersFailureDomainFirst)
 {
     std::vector<Member> members;
     for (std::size_t i = 0; i < 12; ++i) {
@@ -135,7 +135,7 @@
     CHECK_TRUE(response.entries[1].weight > response.entries[2].weight);
 }
 
-// Failure: one process counts every other as unfit and takes the whole fleet's budget for itself.
+// Guards against a process that considers all others ineligible and takes the whole fleet's budget for itself.
 TEST(Placement, anyLagMayBeAllowed)
 {
     std::vector<Member> members = { memberOf(0, 1), memberOf(1, 1), memberOf(2, 1) };
--- a/src/policy/pollerchoice.cpp
+++ b/src/policy/pollerchoice.cpp
@@ -11,7 +11,7 @@
 namespace internal
 {
 
-// Another purpose that ranks members by hash uses another seed, so that not the same proxies carry all duties.
+// Other purposes that rank members by hash must use another seed, so that the same proxies don't get all roles.
 constexpr XXH64_hash_t PollerSeed = 0x706f6c6c;
 
 using Score = std::pair<XXH64_hash_t, std::string>;
--- a/src/policy/routetabletest.cpp
+++ b/src/policy/routetabletest.cpp
@@ -46,7 +46,7 @@
     POINTERS_EQUAL(nullptr, routes.find("press.example", "/a"));
 }
 
-TEST(RouteTable, queryIsNoPartOfThePath)
+TEST(RouteTable, queryIsNotPartOfThePath)
 {
     const RouteTable routes = table();
     STRCMP_EQUAL("other", serviceOf(routes.find("press.example", "/c/?x=/a/b/")).c_str());
--- a/src/policy/snapshotparts.cpp
+++ b/src/policy/snapshotparts.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint64_t PartFormat = 1;
 
-// Quotes are escaped in JSON, which makes a part at most twice as long.
+// JSON escapes quotes, which makes a part at most twice as long.
 constexpr std::size_t MaxPartSize = MaxRecordSize / 2 - 1'024;
 
 std::string hexDigest(std::string_view bytes)
@@ -23,7 +23,7 @@
     return toHex(digest.data(), digest.size());
 }
 
-// The SHA-256 of bytes that come one after the other.
+// Computes the SHA-256 of consecutive chunks.
 class IncrementalDigest
 {
 public:
@@ -38,7 +38,7 @@
         EVP_DigestUpdate(m_context.get(), bytes.data(), bytes.size());
     }
 
-    // Returns it in hexadecimal. Only to be called once, at the end.
+    // Returns the digest in hexadecimal. Must be called only once, after the last chunk.
     std::string finish()
     {
         RecordDigest digest {};
@@ -158,7 +158,7 @@
     parts.data[part->index] = std::move(part->data);
 }
 
-// A part of a foreign snapshot that claims to belong here would give a table that nobody ever had.
+// A part of another snapshot that is falsely labelled as a part of this one would give a table that never existed.
 bool SnapshotAssembler::isComplete(const Key &key, const Parts &parts) const
 {
     if (parts.data.size() != parts.count) {
--- a/src/policy/snapshotpartstest.cpp
+++ b/src/policy/snapshotpartstest.cpp
@@ -10,10 +10,10 @@
 
 TEST_GROUP(SnapshotPieces) {};
 
-// Failure: a proxy that starts from a snapshot lacks items, or refuses a good one.
-TEST(SnapshotPieces, tableIsTheSameWhereverItsSnapshotIsCut)
+// Guards against a proxy that starts from a snapshot and lacks items, or rejects a valid snapshot.
+TEST(SnapshotPieces, tableIsTheSameWhereverItsSnapshotIsSplit)
 {
-    CHECK_TRUE(rc::check("pieces make the table that the whole makes, and a part of them none", [] {
+    CHECK_TRUE(rc::check("pieces load the same table as the whole snapshot, and incomplete pieces load none", [] {
         ConfigTable table;
         const auto log = drawLog();
         applyUpTo(table, log, log.size());
@@ -34,9 +34,9 @@
     }));
 }
 
-TEST(SnapshotPieces, partsMadeOneByOneAreThoseMadeAtOnceAlsoWhenTheTableMovesOn)
+TEST(SnapshotPieces, partsEncodedOneByOneMatchThoseEncodedAtOnceWhenTheTableChanges)
 {
-    constexpr int Accounts = 9'000; // some parts' worth
+    constexpr int Accounts = 9'000; // makes several parts
     ConfigTable table;
     std::vector<Change> changes;
     for (int number = 0; number < Accounts; ++number) {
--- a/src/policy/storeretry.cpp
+++ b/src/policy/storeretry.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Pauses are spread from three quarters of their length to five quarters.
+// Delays are spread from 0.75 to 1.25 of their length.
 constexpr double MinDelayFactor = 0.75;
 constexpr double DelayFactorRange = 0.5;
 
--- a/src/policy/storeretrytest.cpp
+++ b/src/policy/storeretrytest.cpp
@@ -34,14 +34,14 @@
 
 TEST_GROUP(StoreRetry) {};
 
-TEST(StoreRetry, AProcessOnItsOwnTriesTwiceASecond)
+TEST(StoreRetry, processWithoutSharingTriesTwiceASecond)
 {
     CHECK(callsIn(Seconds(8), 1, 0) >= 12);
     CHECK(callsIn(Seconds(8), 1, 0) <= 24);
 }
 
-// Failure: an outage of the store costs more in calls than the requests that fail in it.
-TEST(StoreRetry, ManyProcessesTogetherTryNotMuchMoreOftenThanFew)
+// Guards against an outage of the store in which calls cost more than the requests that fail in it.
+TEST(StoreRetry, manySharingProcessesTryLittleMoreOftenThanFew)
 {
     const int few = callsIn(Seconds(8), 10, 10);
     const int many = callsIn(Seconds(8), 40, 40);
@@ -49,7 +49,7 @@
     CHECK(many <= 40 * 2 + 8 * 12);
 }
 
-TEST(StoreRetry, AfterOneFailureTheNextTryFollowsSoon)
+TEST(StoreRetry, nextTryAfterOneFailureFollowsSoon)
 {
     StoreRetry retry({}, 1);
     retry.onFailure(Start);
@@ -57,7 +57,7 @@
     CHECK(retry.mayTry(Start + Millis(320), 40));
 }
 
-TEST(StoreRetry, AHintEndsThePause)
+TEST(StoreRetry, hintEndsTheDelay)
 {
     StoreRetry retry({}, 0.5);
     retry.onFailure(Start);
@@ -67,8 +67,8 @@
     CHECK(retry.mayTry(Start, 40));
 }
 
-// Failure: after the death of the process that reads for the others, nobody reads for seconds.
-TEST(StoreRetry, WhoBecomesTheOneThatTriesDoesSoSoon)
+// Guards against a failure domain without a reader for seconds after its designated reader died.
+TEST(StoreRetry, newDesignatedReaderTriesSoon)
 {
     StoreRetry retry({}, 1);
     retry.onFailure(Start);
--- a/tests/virtualfleet.h
+++ b/tests/virtualfleet.h
@@ -13,17 +13,17 @@
 namespace mulberryplank
 {
 
-// Many Membership objects in one thread on virtual time, with a queue of messages between them that may lose, delay and
-// block. For tests and measurements.
+// Runs many Membership objects in one thread on virtual time. The message queue between them can lose, delay and block
+// messages. For tests and benchmarks.
 class VirtualFleet
 {
 public:
     struct Node {
         Member self;
-        std::unique_ptr<Membership> membership; // none: not running
+        std::unique_ptr<Membership> membership; // null: not running
         Instant pausedUntil {};
         std::size_t queuedMessages = 0; // that arrived during the pause
-        std::uint32_t run = 0; // counts starts
+        std::uint32_t run = 0; // number of starts
         std::uint64_t messagesSent = 0;
         std::uint64_t bytesSent = 0;
         std::vector<MembershipEvent> events;
@@ -40,7 +40,7 @@
         m_settings.seeds = { endpoint(0), endpoint(size / 2) };
     }
 
-    // Starts a process, or starts it anew under another incarnation.
+    // Starts a process, or restarts it under another incarnation.
     void start(std::size_t index)
     {
         Node &node = m_nodes[index];
@@ -63,7 +63,7 @@
         }
     }
 
-    // Makes every process know every other one, as after a while together.
+    // Makes all processes know each other, as in a fleet that has been running for a while.
     void introduceAll()
     {
         MemberExchange all;
@@ -99,7 +99,7 @@
         m_now = end;
     }
 
-    // Returns what `observer` says of `subject`'s present run, or Dead if it doesn't know it.
+    // Returns the status that `observer` has of `subject`'s current incarnation, or Dead if it doesn't know it.
     MemberStatus statusOf(std::size_t subject, std::size_t observer) const
     {
         for (const Member &member : m_nodes[observer].membership->members()) {
@@ -110,7 +110,7 @@
         return MemberStatus::Dead;
     }
 
-    // Returns the number of running processes that take `subject`'s present run for alive or leaving, without itself.
+    // Returns the number of other running processes that list `subject`'s current incarnation as alive or leaving.
     std::size_t countSeeingAlive(std::size_t subject) const
     {
         std::size_t count = 0;
@@ -144,19 +144,19 @@
         return { "10.0.0.1", static_cast<std::uint16_t>(1'000 + index) };
     }
 
-    std::size_t maxQueuedMessages = 200; // messages that wait in the socket of a paused process
-    double loss = 0; // of datagrams, 0 to 1
+    std::size_t maxQueuedMessages = 200; // socket buffer of a paused process, in messages
+    double loss = 0; // share of lost datagrams, 0 to 1
     std::function<bool(std::size_t from, std::size_t to)> blocked; // links that are cut, by direction
-    std::function<std::size_t(const MembershipMessage &)> sizeOf; // for bytesSent
+    std::function<std::size_t(const MembershipMessage &)> sizeOf; // computes bytesSent
     std::function<void(std::size_t node, const MembershipEvent &)> onEvent;
 
 private:
     struct Item {
         Instant at;
-        std::uint64_t number; // keeps the order of equals
+        std::uint64_t number; // keeps the order of items that are due at the same time
         std::size_t node;
         std::uint32_t run;
-        std::shared_ptr<std::pair<Endpoint, MembershipMessage>> message; // none: a tick
+        std::shared_ptr<std::pair<Endpoint, MembershipMessage>> message; // null: a tick
 
         bool operator<(const Item &other) const
         {
@@ -184,7 +184,7 @@
             return;
         }
         if (node.pausedUntil > m_now) {
-            // On resume the timer goes off before anything is read: the worse order.
+            // On resume the timer fires before any message is read, which is the worse order.
             if (!item.message) {
                 m_queue.push({ node.pausedUntil, 0, item.node, item.run, nullptr });
             } else if (node.queuedMessages++ < maxQueuedMessages) {
