--- a/include/mulberryplank/policy/fleetseeds.h
+++ b/include/mulberryplank/policy/fleetseeds.h
@@ -20,7 +20,7 @@
 // not counting members that are leaving or dead. These members are the seeds and read the configuration from the store.
 // The result is the same on all processes that know the same members. A fleet of any size thus has the same number of
 // them in each domain, and one that is lost is replaced.
-bool isAmongStrongest(const std::vector<Member> &members, Incarnation self, std::size_t perDomain);
+bool isAmongTopRanked(const std::vector<Member> &members, Incarnation self, std::size_t perDomain);
 
 // Returns the designated reader of a failure domain, which reads the store for the domain's other members, or nothing.
 // It is the member with the highest capacity that is alive there, ready or not. Few members are ready while a fleet
--- a/include/mulberryplank/policy/membership.h
+++ b/include/mulberryplank/policy/membership.h
@@ -78,8 +78,8 @@
     // Commands.
 
     // Performs all work that is due. Should be called about every 100 ms. After a gap longer than `pauseThreshold`,
-    // this process considers itself paused: it suspects no member for missed responses, and requests a new exchange of
-    // lists.
+    // this process considers itself paused: it suspects no member for missed responses, and announces itself again
+    // by an exchange of lists.
     std::vector<OutgoingMessage> tick(Instant now);
 
     // Handles a message from a member. Returns the messages to send in response. `from` is the address at which the
@@ -161,7 +161,7 @@
     void refillProbeOrder();
     void insertJoinedMembers();
     std::optional<Endpoint> chooseUnknownSeed(Instant now);
-    void compareLiveCount(std::size_t elsewhere);
+    void compareLiveCount(std::size_t peerLiveCount);
     bool justStarted(Instant now) const;
     void merge(const MemberUpdate &update, Instant now);
     Duration minExchangeInterval(Instant now) const;
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -74,7 +74,7 @@
     entries.minPerDomain = m_settings.entriesPerDomain;
     m_entries = ingressMembers(all, entries);
     m_reader = designatedReader(all, m_settings.failureDomain);
-    m_readsConfiguration = isAmongStrongest(all, m_incarnation, internal::ConfigurationReaders);
+    m_readsConfiguration = isAmongTopRanked(all, m_incarnation, internal::ConfigurationReaders);
     // The budget's fixed part goes to the gateways that have the requests; the others have what theirs earn.
     const Instant now = Clock::now();
     m_slackShare.follow(m_entries.size(), isEntry(), now);
--- a/src/net/seedkeeper.cpp
+++ b/src/net/seedkeeper.cpp
@@ -90,7 +90,7 @@
         co_await findOthers();
     }
     const bool mayName = !m_named && now >= m_settledAt && now >= m_retryAt;
-    if (mayName && isAmongStrongest(members, m_incarnation, m_settings.seedsPerDomain)) {
+    if (mayName && isAmongTopRanked(members, m_incarnation, m_settings.seedsPerDomain)) {
         co_await nameItself(members);
     }
 }
--- a/src/policy/fleetseeds.cpp
+++ b/src/policy/fleetseeds.cpp
@@ -27,7 +27,7 @@
 
 } // namespace internal
 
-bool isAmongStrongest(const std::vector<Member> &members, Incarnation self, std::size_t perDomain)
+bool isAmongTopRanked(const std::vector<Member> &members, Incarnation self, std::size_t perDomain)
 {
     const auto own = std::find_if(members.begin(), members.end(), [self](const Member &member) {
         return member.incarnation == self;
--- a/src/policy/fleetseedstest.cpp
+++ b/src/policy/fleetseedstest.cpp
@@ -21,7 +21,7 @@
 {
     std::size_t count = 0;
     for (const Member &member : members) {
-        count += isAmongStrongest(members, member.incarnation, perDomain) ? 1 : 0;
+        count += isAmongTopRanked(members, member.incarnation, perDomain) ? 1 : 0;
     }
     return count;
 }
@@ -43,18 +43,18 @@
 TEST(FleetSeeds, membersWithHighestCapacityAreSeeds)
 {
     const std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500), memberAt("hall", 3) };
-    CHECK_TRUE(isAmongStrongest(members, 2, 1));
-    CHECK_FALSE(isAmongStrongest(members, 1, 1));
+    CHECK_TRUE(isAmongTopRanked(members, 2, 1));
+    CHECK_FALSE(isAmongTopRanked(members, 1, 1));
 }
 
 TEST(FleetSeeds, deadOrLeavingSeedIsReplaced)
 {
     for (const MemberStatus status : { MemberStatus::Dead, MemberStatus::Leaving }) {
         std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500) };
-        CHECK_FALSE(isAmongStrongest(members, 1, 1));
+        CHECK_FALSE(isAmongTopRanked(members, 1, 1));
         members[1].status = status;
-        CHECK_TRUE(isAmongStrongest(members, 1, 1));
-        CHECK_FALSE(isAmongStrongest(members, 2, 1));
+        CHECK_TRUE(isAmongTopRanked(members, 1, 1));
+        CHECK_FALSE(isAmongTopRanked(members, 2, 1));
     }
 }
 
--- a/src/policy/membership.cpp
+++ b/src/policy/membership.cpp
@@ -18,8 +18,8 @@
     3; // a process that receives no messages waits this many times longer before it declares members dead
 constexpr Millis UsualTickGap { 250 };
 
-// Suspects of other members and dead members are probed separately. A process that receives no messages continues to
-// probe all members.
+// Members suspected by other processes and dead members are probed separately. A process that receives no messages
+// continues to probe all members.
 bool isProbed(const MemberList::Entry &entry)
 {
     return entry.isolatedSuspicion || entry.state.status == MemberStatus::Alive
@@ -236,8 +236,8 @@
     }
 }
 
-// Returns the time for the suspicionTimeout's gossip to reach its subject and for the refutation to return, which takes
-// longer in a larger fleet.
+// Returns how long a suspect has to refute: long enough for gossip to reach it and for its refutation to return, which
+// takes longer in a larger fleet.
 Duration Membership::suspicionTime(const Entry &entry) const
 {
     const double digits = std::log10(static_cast<double>(m_list.liveCount()) + 1);
--- a/src/policy/membershipexchange.cpp
+++ b/src/policy/membershipexchange.cpp
@@ -164,11 +164,11 @@
 }
 
 // Schedules an exchange if another member reports notably more live members than this process has.
-void Membership::compareLiveCount(std::size_t elsewhere)
+void Membership::compareLiveCount(std::size_t peerLiveCount)
 {
     const auto own = static_cast<double>(m_list.liveCount());
     m_hasUnknownMembers =
-        m_hasUnknownMembers || static_cast<double>(elsewhere) > 1 + own * (1 + m_settings.toleratedDifference);
+        m_hasUnknownMembers || static_cast<double>(peerLiveCount) > 1 + own * (1 + m_settings.toleratedDifference);
 }
 
 void Membership::setSeeds(std::vector<Endpoint> seeds, std::size_t preferred)
--- a/src/policy/membershiptest.cpp
+++ b/src/policy/membershiptest.cpp
@@ -36,7 +36,7 @@
 }
 
 // Injects one random fault with its after-effects.
-void injectFault(VirtualFleet &fleet, std::set<std::pair<std::size_t, std::size_t>> &cuts)
+void injectFault(VirtualFleet &fleet, std::set<std::pair<std::size_t, std::size_t>> &blockedLinks)
 {
     const auto index = *rc::gen::inRange<std::size_t>(0, fleet.size());
     switch (*rc::gen::inRange(0, 6)) {
@@ -49,19 +49,19 @@
     case 2:
         fleet.pause(index, Millis(*rc::gen::inRange(100, 30'000)));
         break;
-    case 3: // cuts one direction of a link
-        cuts.insert({ index, *rc::gen::inRange<std::size_t>(0, fleet.size()) });
+    case 3: // blocks one direction of a link
+        blockedLinks.insert({ index, *rc::gen::inRange<std::size_t>(0, fleet.size()) });
         break;
-    case 4: // cuts all inbound links of a process
+    case 4: // blocks all inbound links of a process
         for (std::size_t from = 0; from < fleet.size(); ++from) {
-            cuts.insert({ from, index });
+            blockedLinks.insert({ from, index });
         }
         break;
     default: // partitions the fleet in two
         for (std::size_t from = 0; from < index; ++from) {
             for (std::size_t to = index; to < fleet.size(); ++to) {
-                cuts.insert({ from, to });
-                cuts.insert({ to, from });
+                blockedLinks.insert({ from, to });
+                blockedLinks.insert({ to, from });
             }
         }
     }
@@ -78,18 +78,18 @@
 {
     CHECK_TRUE(rc::check("members agree in the end", [] {
         VirtualFleet fleet(*rc::gen::inRange<std::size_t>(2, 10), {}, *rc::gen::arbitrary<std::uint64_t>());
-        std::set<std::pair<std::size_t, std::size_t>> cuts;
-        fleet.blocked = [&cuts](std::size_t from, std::size_t to) {
-            return cuts.count({ from, to }) != 0;
+        std::set<std::pair<std::size_t, std::size_t>> blockedLinks;
+        fleet.blocked = [&blockedLinks](std::size_t from, std::size_t to) {
+            return blockedLinks.count({ from, to }) != 0;
         };
         fleet.loss = *rc::gen::element(0.0, 0.05, 0.3);
         fleet.startAll();
         fleet.run(Seconds(5));
         const int faults = *rc::gen::inRange(0, 8);
         for (int i = 0; i < faults; ++i) {
-            injectFault(fleet, cuts);
+            injectFault(fleet, blockedLinks);
         }
-        cuts.clear();
+        blockedLinks.clear();
         fleet.loss = 0;
         fleet.start(0); // a seed, so that a process that hasn't joined yet can
         fleet.run(Seconds(30) + SettleTime);
@@ -113,13 +113,13 @@
         fleet.loss = *rc::gen::element(0.0, 0.05);
         fleet.startAll();
         fleet.run(SettleTime);
-        const auto victim = *rc::gen::inRange<std::size_t>(0, fleet.size());
-        fleet.kill(victim);
+        const auto killed = *rc::gen::inRange<std::size_t>(0, fleet.size());
+        fleet.kill(killed);
         fleet.run(DetectionLimit);
-        RC_ASSERT(fleet.countSeeingAlive(victim) == 0U);
+        RC_ASSERT(fleet.countSeeingAlive(killed) == 0U);
         for (std::size_t i = 0; i < fleet.size(); ++i) {
-            if (i != victim) {
-                RC_ASSERT(fleet.statusOf(victim, i) == MemberStatus::Dead);
+            if (i != killed) {
+                RC_ASSERT(fleet.statusOf(killed, i) == MemberStatus::Dead);
             }
         }
     }));
--- a/src/policy/peerchoicetest.cpp
+++ b/src/policy/peerchoicetest.cpp
@@ -43,16 +43,16 @@
 
 TEST(PeerChoice, peersWithHigherCapacityAreChosenMoreOften)
 {
-    int strong = 0;
+    int highCapacityChosen = 0;
     for (int i = 0; i < 400; ++i) {
-        strong +=
+        highCapacityChosen +=
             choosePeerForUpdate({ member(1, 5, 500), member(2, 5, 100) }, 9, 4, failedPeers, now, random)->incarnation
                     == 1
                 ? 1
                 : 0;
     }
-    CHECK(strong > 250);
-    CHECK(strong < 350);
+    CHECK(highCapacityChosen > 250);
+    CHECK(highCapacityChosen < 350);
 }
 
 TEST(PeerChoice, neitherSelfNorDeadMembersAreChosen)
--- a/src/policy/placementindex.cpp
+++ b/src/policy/placementindex.cpp
@@ -41,7 +41,7 @@
     ServiceSize size;
     std::vector<Entry *> assignedProxies; // highest score first
     std::vector<double> domainThresholds; // minimum score for a place in each domain; beyond the end: any
-    double restThreshold = internal::AnyScore; // minimum score for a place that is open to any domain
+    double anyDomainThreshold = internal::AnyScore; // minimum score for a place that is open to any domain
     bool dirty = false; // has to be placed again
     bool changed = false; // the assigned proxies differ from those last reported
 };
@@ -204,7 +204,7 @@
         inDomain = placed.domainThresholds[entry.domain];
     }
     const double score = internal::placementScore(placed.hash, entry.vmHash, entry.capacity);
-    return score >= std::min(inDomain, placed.restThreshold);
+    return score >= std::min(inDomain, placed.anyDomainThreshold);
 }
 
 std::vector<ServiceName> PlacementIndex::placeDirty()
@@ -262,12 +262,12 @@
     std::size_t reserved = 0;
     std::size_t rest = 0;
     placed.domainThresholds.assign(m_domains.size(), anyScore);
-    placed.restThreshold = internal::NoScore;
+    placed.anyDomainThreshold = internal::NoScore;
     for (std::size_t index = 0; index < scores.size(); ++index) {
         const std::size_t domain = placed.assignedProxies[index]->domain;
         if (reservedInDomain[domain] == m_settings.minPerFailureDomain) {
             ++rest;
-            placed.restThreshold = scores[index];
+            placed.anyDomainThreshold = scores[index];
             continue;
         }
         ++reserved;
@@ -277,7 +277,7 @@
         }
     }
     if (reserved + rest < wanted) {
-        placed.restThreshold = internal::AnyScore;
+        placed.anyDomainThreshold = internal::AnyScore;
     }
 }
 
--- a/src/policy/placementindextest.cpp
+++ b/src/policy/placementindextest.cpp
@@ -13,9 +13,9 @@
 
 // Uses the full range from the first case on: in a fleet of one or two members there is no competition for places.
 template<typename Number>
-Number anyFrom(Number least, Number end)
+Number anyFrom(Number lowest, Number end)
 {
-    return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(least, end));
+    return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(lowest, end));
 }
 
 // Uses few VMs, so that they leave and return, and several members may have the same name.
@@ -119,11 +119,11 @@
             }
             RC_ASSERT(index.services().size() == sizes.size());
             for (const auto &[service, size] : sizes) {
-                const auto scratch = assignedProxies(service, withoutRepeats(members), settings, size);
-                RC_ASSERT(index.assignedProxiesOf(service) == scratch);
-                const bool named = std::count(changed.begin(), changed.end(), service) == 1;
-                RC_ASSERT(named || sameProcesses(scratch, before[service]));
-                before[service] = scratch;
+                const auto expected = assignedProxies(service, withoutRepeats(members), settings, size);
+                RC_ASSERT(index.assignedProxiesOf(service) == expected);
+                const bool reported = std::count(changed.begin(), changed.end(), service) == 1;
+                RC_ASSERT(reported || sameProcesses(expected, before[service]));
+                before[service] = expected;
             }
         }
     }));
--- a/src/policy/snapshotparts.cpp
+++ b/src/policy/snapshotparts.cpp
@@ -106,15 +106,15 @@
     : m_next(table.nextOffset())
 {
     internal::IncrementalDigest digest;
-    table.writeSnapshot([&](std::string_view piece) {
-        digest.update(piece);
-        while (!piece.empty()) {
+    table.writeSnapshot([&](std::string_view chunk) {
+        digest.update(chunk);
+        while (!chunk.empty()) {
             if (m_data.empty() || m_data.back().size() == internal::MaxPartSize) {
                 m_data.emplace_back().reserve(internal::MaxPartSize);
             }
-            const std::size_t room = internal::MaxPartSize - m_data.back().size();
-            m_data.back() += piece.substr(0, room);
-            piece.remove_prefix(std::min(room, piece.size()));
+            const std::size_t remaining = internal::MaxPartSize - m_data.back().size();
+            m_data.back() += chunk.substr(0, remaining);
+            chunk.remove_prefix(std::min(remaining, chunk.size()));
         }
     });
     m_digest = digest.finish();
