--- a/bench/requestdecisions.cpp
+++ b/bench/requestdecisions.cpp
@@ -4,11 +4,11 @@
 
 #include <benchmark/benchmark.h>
 
-#include "mulberryplank/policy/attempts.h"
 #include "mulberryplank/policy/calleridentity.h"
 #include "mulberryplank/policy/hedge.h"
 #include "mulberryplank/policy/onceregistry.h"
 #include "mulberryplank/policy/requestcheck.h"
+#include "mulberryplank/policy/requestplan.h"
 
 using namespace mulberryplank;
 
@@ -46,22 +46,22 @@
 void planOneAttempt(benchmark::State &state)
 {
     for ([[maybe_unused]] auto step : state) {
-        PlanSettings settings { .requestId = "0123456789abcdef-1f", .deadline = Deadline(Begin, Seconds(2)) };
+        RequestPlanSettings settings { .requestId = "0123456789abcdef-1f", .deadline = Deadline(Begin, Seconds(2)) };
         settings.idempotent = true;
         settings.hedgeDelay = Millis(20);
         RequestPlan plan(settings, [] {
             return true;
         });
         plan.start();
-        plan.onTarget(0, 3, true, Begin);
+        plan.onTargetSelected(0, 3, true, Begin);
         benchmark::DoNotOptimize(plan.onSending(0));
         benchmark::DoNotOptimize(plan.wakeAt());
-        AnswerHeader header;
+        ResponseSummary header;
         header.body.length = 900;
         header.requestId = plan.attemptRequestId(0);
         plan.onHeader(0, header, Begin);
         plan.onBody(0, 900);
-        benchmark::DoNotOptimize(plan.onPassedOn(0, Begin));
+        benchmark::DoNotOptimize(plan.onForwarded(0, Begin));
     }
 }
 
--- a/include/mulberryplank/net/exchange.h
+++ b/include/mulberryplank/net/exchange.h
@@ -12,7 +12,7 @@
 #include "mulberryplank/net/httpmessage.h"
 #include "mulberryplank/net/signal.h"
 #include "mulberryplank/net/worker.h"
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 namespace mulberryplank
 {
@@ -28,7 +28,7 @@
     Route route;
     std::string id;
     Deadline deadline { Instant {}, Duration {} };
-    bool deadlineIsCallers = false;
+    bool deadlineFromCaller = false;
     std::string body; // read so far
     bool bodyComplete = false;
     bool expectsContinue = false;
@@ -40,8 +40,8 @@
 
 // How an exchange ended.
 struct ExchangeEnd {
-    StepKind kind = StepKind::AbortCaller; // Finish, Answer or AbortCaller
-    Step step; // for Answer
+    StepKind kind = StepKind::AbortCaller; // Finish, Respond or AbortCaller
+    Step step; // for Respond
     std::optional<StoredAnswer> stored; // the whole answer, if asked for and small enough
     Outcome outcome = Outcome::Unknown;
     bool callerGone = false;
@@ -57,7 +57,7 @@
     Exchange(const Exchange &) = delete;
     Exchange &operator=(const Exchange &) = delete;
 
-    // Runs the request. When the result is Answer, nothing has been written to the caller yet. To be called once.
+    // Runs the request. When the result is Respond, nothing has been written to the caller yet. To be called once.
     DataAwaitable<ExchangeEnd> run();
 
 private:
--- a/src/app/carriedservicestest.cpp
+++ b/src/app/carriedservicestest.cpp
@@ -177,7 +177,7 @@
             m_self,
             m_settings,
             [](Event, std::initializer_list<EventField>) {});
-        const auto edits = drawLog();
+        const auto edits = generateLog();
         std::size_t next = 0;
         while (next < edits.size()) {
             const auto count = *rc::gen::inRange<std::size_t>(1, 6);
--- a/src/net/configsynctest.cpp
+++ b/src/net/configsynctest.cpp
@@ -276,12 +276,12 @@
         std::set<std::string> accepted;
         int edits = 0;
         for (const std::uint32_t step : *rc::gen::resize(60, rc::gen::container<std::vector<std::uint32_t>>(number))) {
-            Draw draw(step);
-            const std::size_t index = draw.upTo(Size);
+            NumberSource draw(step);
+            const std::size_t index = draw.below(Size);
             FakeFleet::Proxy &proxy = fleet.at(index);
             const Offset before = proxy.state->applied();
             bool restarted = false;
-            switch (draw.upTo(10)) {
+            switch (draw.below(10)) {
             case 0:
                 proxy.cutFromLog = !proxy.cutFromLog;
                 break;
@@ -323,7 +323,7 @@
             default:
                 fleet.step(index);
                 fleet.deliver([&] {
-                    return draw.upTo(3) == 0;
+                    return draw.below(3) == 0;
                 });
             }
             RC_ASSERT(restarted || proxy.state->applied() >= before);
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -75,7 +75,7 @@
     };
     // Without the budget for an attempt after this one, it is the last.
     const double spentByThis = cause == AttemptCause::First ? 0 : 1;
-    wanted.isLast = m_plan.nextIsLast() || m_service.budget.left(now) < spentByThis + 1 + internal::RetryReserve;
+    wanted.isLast = m_plan.nextAttemptIsLast() || m_service.budget.left(now) < spentByThis + 1 + internal::RetryReserve;
     std::optional<ChosenTarget> chosen = m_service.balancer.choose(wanted, now);
     if (!chosen) {
         return false;
--- a/src/policy/bodyresumetest.cpp
+++ b/src/policy/bodyprogresstest.cpp
@@ -1,4 +1,4 @@
-#include "mulberryplank/policy/bodyresume.h"
+#include "mulberryplank/policy/bodyprogress.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -34,7 +34,7 @@
     progress.accept(400);
     STRCMP_EQUAL("bytes=400-999", progress.resumeRequest()->range.c_str());
     STRCMP_EQUAL("\"v1\"", progress.resumeRequest()->ifRange.c_str());
-    CHECK_TRUE(progress.continues(restFrom(400)));
+    CHECK_TRUE(progress.isContinuedBy(restFrom(400)));
 }
 
 TEST(BodyResume, brokenRangeRequestContinuesWithinItsOwnRange)
@@ -52,18 +52,18 @@
 {
     BodyProgress progress(archive());
     progress.accept(400);
-    CHECK_FALSE(progress.continues(archive()));
-    CHECK_FALSE(progress.continues(restFrom(399)));
-    CHECK_FALSE(progress.continues(restFrom(401)));
+    CHECK_FALSE(progress.isContinuedBy(archive()));
+    CHECK_FALSE(progress.isContinuedBy(restFrom(399)));
+    CHECK_FALSE(progress.isContinuedBy(restFrom(401)));
     BodyHeader other = restFrom(400);
     other.etag = "\"v2\"";
-    CHECK_FALSE(progress.continues(other));
+    CHECK_FALSE(progress.isContinuedBy(other));
     other = restFrom(400);
     other.contentRange = "bytes 400-999/*";
-    CHECK_FALSE(progress.continues(other));
+    CHECK_FALSE(progress.isContinuedBy(other));
     other = restFrom(400);
     other.framing = BodyFraming::Chunked;
-    CHECK_FALSE(progress.continues(other));
+    CHECK_FALSE(progress.isContinuedBy(other));
 }
 
 TEST(BodyResume, bodyWithoutStrongValidatorOrLengthIsNotResumed)
--- a/src/policy/snapshotparts.cpp
+++ b/src/policy/snapshotparts.cpp
@@ -82,7 +82,7 @@
         reader.read("parts", part.count);
         reader.read("data", part.data);
         return format == PartFormat && part.index < part.count ? std::optional(std::move(part)) : std::nullopt;
-    } catch (const FieldFault &) {
+    } catch (const FieldError &) {
         return std::nullopt;
     }
 }
--- a/src/state/configstatecommands.cpp
+++ b/src/state/configstatecommands.cpp
@@ -106,7 +106,7 @@
                        "a snapshot at " + std::to_string(table.nextOffset()) + " isn't newer than "
                            + std::to_string(m_table.nextOffset()));
     }
-    if (!table.mayFollow(m_table)) {
+    if (!table.mayShareLogWith(m_table)) {
         return failure(ErrorKind::Conflict, "the snapshot lacks the last edit applied here: it comes from another log");
     }
     m_table = std::move(table);
--- a/src/state/configstatetest.cpp
+++ b/src/state/configstatetest.cpp
@@ -116,7 +116,7 @@
     CHECK_TRUE(rc::check("proxies that read, hear, restart and publish in any order agree, and never go back", [] {
         constexpr std::size_t Proxies = 4;
         constexpr std::size_t TailBytes = 2'000;
-        const auto edits = drawLog();
+        const auto edits = generateLog();
         const auto number = rc::gen::resize(rc::kNominalSize, rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
         const auto steps = *rc::gen::resize(120, rc::gen::container<std::vector<std::uint32_t>>(number));
         FakeLog log;
@@ -125,11 +125,11 @@
             proxies.push_back(std::make_unique<ConfigState>(TailBytes));
         }
         for (const std::uint32_t step : steps) {
-            Draw draw(step);
-            const std::size_t self = draw.upTo(Proxies);
-            const std::size_t other = draw.upTo(Proxies);
+            NumberSource draw(step);
+            const std::size_t self = draw.below(Proxies);
+            const std::size_t other = draw.below(Proxies);
             const Offset before = proxies[self]->applied();
-            switch (draw.upTo(8)) {
+            switch (draw.below(8)) {
             case 0: // a restart forgets everything
                 proxies[self] = std::make_unique<ConfigState>(TailBytes);
                 break;
@@ -138,11 +138,11 @@
                 break;
             case 2: // records expire up to the newest snapshot
                 if (const auto table = log.newestSnapshot()) {
-                    log.first = std::max(log.first, draw.upTo(table->nextOffset() + 1));
+                    log.first = std::max(log.first, draw.below(table->nextOffset() + 1));
                 }
                 break;
             case 3: // a peer's records, of any age
-                if (const auto news = proxies[other]->newsSince(draw.upTo(log.records.size() + 1))) {
+                if (const auto news = proxies[other]->newsSince(draw.below(log.records.size() + 1))) {
                     (void)proxies[self]->learn(*news);
                 }
                 break;
@@ -154,7 +154,7 @@
                 });
                 break;
             case 5:
-                readLog(*proxies[self], log, 1 + draw.upTo(8));
+                readLog(*proxies[self], log, 1 + draw.below(8));
                 break;
             default:
                 for (std::size_t count = 0; count < 3 && log.records.size() < edits.size(); ++count) {
