--- a/include/mulberryplank/policy/configmodel.h
+++ b/include/mulberryplank/policy/configmodel.h
@@ -13,18 +13,19 @@
 namespace mulberryplank
 {
 
-// A position in the platform's log. The first record has offset 0.
+// Position of a record in the platform's log. The first record has offset 0.
 using Offset = std::uint64_t;
 
-// Tells the states of one item apart: the offset of the record that last set the item, plus one. 0 means that the item
-// does not exist. It only grows, also over a removal and a new creation, so an edit that is based on an old state never
-// matches a later one by chance; and a reader that has applied a table up to an offset holds every version up to it.
+// Version of an item: the offset of the record that last set the item, plus one. 0 means that the item does not exist.
+// It only increases, also when an item is removed and created again, so an edit that is based on an old state never
+// matches a later one by chance. A process that has applied the log up to an offset has every version up to it.
 using Version = std::uint64_t;
 
-// SHA-256 of a client account's secret. Secrets are random and long, so a plain digest can't be guessed back.
+// SHA-256 of a client account's secret. Secrets are random and long, so an unsalted digest can't be reversed by
+// guessing.
 using SecretDigest = std::array<std::uint8_t, 32>;
 
-// Which of detection time and false ejections matters more to a service's owners.
+// Trade-off between detection time and false ejections for a service.
 enum class Detection : std::uint8_t {
     Fast,
     Balanced,
@@ -34,7 +35,7 @@
 std::string_view toString(Detection detection);
 std::optional<Detection> detectionFromString(std::string_view name);
 
-// A client account: who may call.
+// A client account, in whose name callers send requests.
 struct Account {
     AccountName name;
     SecretDigest secretDigest {};
@@ -43,15 +44,15 @@
     bool operator==(const Account &) const = default;
 };
 
-// One class of requests of a service. The first route whose method and prefix match a request is its route; a request
-// that no route matches gets defaultRoute().
+// One class of requests of a service. A request uses the first route whose method and path prefix match it, or
+// defaultRoute() if none matches.
 struct Route {
     std::string name;
     std::string method; // "*": any
     std::string pathPrefix;
     bool idempotent = false;
-    Millis timeout { 10'000 }; // the most a request may take in all
-    Millis progressTimeout { 5'000 }; // the most that may pass between two pieces of a body
+    Millis timeout { 10'000 }; // maximum duration of a request
+    Millis progressTimeout { 5'000 }; // maximum time between two pieces of a body
 
     bool operator==(const Route &) const = default;
 };
@@ -60,8 +61,8 @@
 struct Service {
     ServiceName name;
     Detection detection = Detection::Balanced;
-    double floorShare = 0.5; // of the service's targets, 0 to 1, that ejection must leave in service
-    std::uint32_t floorCount = 1; // the least number of targets that ejection must leave in service
+    double floorShare = 0.5; // share of the service's targets, 0 to 1, that ejection must leave in service
+    std::uint32_t floorCount = 1; // minimum number of targets that ejection must leave in service
     std::uint32_t slotsPerTarget = 4;
     std::uint32_t connectionsPerTarget = 330; // over the whole fleet
     std::vector<Route> routes;
@@ -74,7 +75,7 @@
 struct Target {
     TargetName name;
     ServiceName service;
-    std::string host; // IP number
+    std::string host; // IP address
     std::uint16_t port = 0;
     FailureDomain failureDomain;
     Version version = 0;
@@ -82,7 +83,7 @@
     bool operator==(const Target &) const = default;
 };
 
-// What one client account may use of one service, over the whole fleet. 0 means no limit.
+// Limits of one client account for one service, over the whole fleet. 0 means no limit.
 struct Limits {
     double requestsPerSecond = 0;
     std::uint32_t inFlight = 0;
@@ -104,11 +105,11 @@
 
 inline constexpr std::uint32_t MaxWeight = 10'000;
 
-// Returns the route for a request that no configured route matches: GET, HEAD and OPTIONS are idempotent by the HTTP
-// standard, everything else is taken as not idempotent.
+// Returns the route for a request that no configured route matches. GET, HEAD and OPTIONS are idempotent by the HTTP
+// standard; all other methods are treated as non-idempotent.
 Route defaultRoute(std::string_view method);
 
-// Returns the index in `service.routes` of the first route that matches, or nothing.
+// Returns the index in `service.routes` of the first route that matches, or nullopt.
 std::optional<std::size_t> matchRoute(const Service &service, std::string_view method, std::string_view path);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/configtable.h
+++ b/include/mulberryplank/policy/configtable.h
@@ -14,39 +14,39 @@
 namespace mulberryplank
 {
 
-// What became of one record of the log.
+// Result of applying one record of the log.
 enum class EditStatus : std::uint8_t {
     Accepted,
     Conflict, // the edit was based on a version that is no longer current
-    Invalid, // the edit would leave the table wrong, such as a row of an account that doesn't exist
-    Repeated, // an edit with this id was decided before; its first outcome stands
-    Unreadable, // the record doesn't parse, or has a newer format
+    Invalid, // the edit would make the table inconsistent, such as a row of an account that doesn't exist
+    Repeated, // an edit with this id was decided before; its first outcome remains
+    Unreadable, // the record can't be parsed, or has a newer format
 };
 
 std::string_view toString(EditStatus status);
 std::optional<EditStatus> editStatusFromString(std::string_view name);
 
-// The outcome of one edit: the same for every reader of the log.
+// The outcome of one edit, which is the same for every process that reads the log.
 struct EditOutcome {
     EditId id;
     Offset offset = 0;
     EditStatus status = EditStatus::Unreadable;
-    std::string detail; // for people; empty when accepted
+    std::string detail; // human-readable; empty when accepted
 
     bool operator==(const EditOutcome &) const = default;
 };
 
-// SHA-256 of one record of the log. Tells two logs apart that have a record at the same offset.
+// SHA-256 of one record of the log. Distinguishes two logs that both have a record at an offset.
 using RecordDigest = std::array<std::uint8_t, 32>;
 
 RecordDigest digestOfRecord(std::string_view record);
 
-// How many decided edits a table remembers by their ids. At 29,000 edits a day that is more than three hours; an edit
-// that comes again later than that is refused by its versions, unless the item is gone and it would create it.
+// Maximum number of decided edits whose ids a table remembers. At 29,000 edits a day this covers more than three hours.
+// An edit that is repeated later is rejected because of its versions, unless it creates an item that was removed since.
 inline constexpr std::size_t MaxRememberedEdits = 4'096;
 
-// The operators' configuration as a deterministic fold of the log: readers that have applied the same records hold the
-// same table, whichever way the records reached them. Not synchronized.
+// The operators' configuration, built by applying the records of the log in order. Deterministic: processes that have
+// applied the same records have the same table, independent of how they received the records. Thread-compatible.
 class ConfigTable
 {
 public:
@@ -57,64 +57,66 @@
     ConfigTable(const ConfigTable &) = delete;
     ConfigTable &operator=(const ConfigTable &) = delete;
 
-    // Returns the offset of the first record not applied yet. Never decreases.
+    // Returns the offset of the next record to apply. Never decreases.
     Offset nextOffset() const;
 
-    // Returns the digest of the record before nextOffset(), whether or not it could be read; all zeros before the
-    // first.
+    // Returns the digest of the record before nextOffset(), even if it was unreadable. All zeros before the first
+    // record.
     const RecordDigest &lastRecordDigest() const;
 
-    // Applies the record at `offset`, which must be nextOffset(): a record before it is already in force, and one after
-    // it would leave a gap; both change nothing and return Conflict. Takes time in proportion to the edit, not to the
-    // table.
+    // Applies the record at `offset`. Returns Conflict and changes nothing unless `offset` is nextOffset(): an earlier
+    // record was applied already, and a later one would leave a gap. Takes time in proportion to the size of the edit,
+    // not of the table.
     Result<EditOutcome> apply(Offset offset, std::string_view record);
 
-    // Each returns nullptr, or nothing, when there is no such item. Pointers stay valid until the next apply(). Rows
-    // are kept packed, since there are as many as accounts, and are returned by value.
+    // Each returns nullptr or nullopt if there is no such item. Pointers are valid until the next apply(). Rows are
+    // returned by value because they are stored in packed form, since there are as many as accounts.
     const Account *account(const AccountName &name) const;
     const Service *service(const ServiceName &name) const;
     const Target *target(const TargetName &name) const;
     std::optional<Row> row(const AccountName &account, const ServiceName &service) const;
 
-    // Each returns items in order of name.
+    // Each returns items ordered by name.
     std::vector<const Account *> accounts() const;
     std::vector<const Service *> services() const;
     std::vector<const Target *> targetsOf(const ServiceName &service) const;
     std::vector<Row> rowsOf(const ServiceName &service) const;
 
-    // Returns all rows in order of account, then service. A copy of the whole table: for operators, not for requests.
+    // Returns all rows ordered by account, then service. Copies the whole table: for operators, not for use per
+    // request.
     std::vector<Row> rows() const;
 
-    // Returns the services that `account` has a row for, in order of name. Takes time in proportion to the services.
+    // Returns the services for which `account` has a row, ordered by name. Takes time linear in the number of services.
     std::vector<ServiceName> servicesOf(const AccountName &account) const;
 
-    // Returns what became of the edit, if it is one of the last MaxRememberedEdits that were decided.
+    // Returns the outcome of the edit if it is one of the last MaxRememberedEdits decided edits.
     std::optional<EditOutcome> outcomeOf(const EditId &id) const;
 
-    // Returns false if this table surely comes from another log than `older`, which has applied fewer records: the last
-    // edit that `older` decided is missing here, though this table remembers edits as old as that one.
+    // Returns false if this table certainly comes from another log than `older`, which has applied fewer records. That
+    // is the case if this table remembers edits as old as the last one that `older` decided, but not that edit.
     bool mayShareLogWith(const ConfigTable &older) const;
 
-    // Returns the SHA-256, in hexadecimal, of the table's content: equal at equal nextOffset().
+    // Returns the SHA-256 of the table's content in hexadecimal. Tables of one log with equal nextOffset() have equal
+    // digests.
     std::string digest() const;
 
-    // Returns the whole table as bytes: the same bytes at the same offset on every reader.
+    // Returns the serialized table. The bytes are the same in every process at the same offset.
     std::string snapshot() const;
 
-    // Passes the bytes of snapshot() to `sink` piece by piece, without holding them all.
+    // Passes the bytes of snapshot() to `sink` piece by piece, without keeping all of them in memory.
     void writeSnapshot(const std::function<void(std::string_view)> &sink) const;
 
-    // Returns the table that snapshot() wrote, or BadConfiguration.
+    // Returns the table serialized by snapshot(), or BadConfiguration.
     static Result<ConfigTable> fromSnapshot(std::string_view bytes);
 
-    // Likewise of a snapshot that was cut into pieces anywhere. Each piece is freed once it is read, so that the
-    // snapshot and the table don't take their full memory at the same time.
+    // As above, for a snapshot that was split into pieces at any position. Each piece is freed once it is read, so that
+    // the snapshot and the table don't both use their full memory at the same time.
     static Result<ConfigTable> fromSnapshot(std::vector<std::string> pieces);
 
 private:
     using PieceSink = std::function<void(std::string_view)>;
 
-    // Reads what `source` passes on piece by piece.
+    // Reads a snapshot from the pieces that `source` passes to its argument.
     static Result<ConfigTable> readSnapshot(const std::function<void(const PieceSink &)> &source);
 
     struct Private;
--- a/include/mulberryplank/policy/forwardplan.h
+++ b/include/mulberryplank/policy/forwardplan.h
@@ -10,33 +10,33 @@
 namespace mulberryplank
 {
 
-// Decides how often one request is sent, and what may be said of it at the end. Guarantees, whatever order attempts end
-// in: a request that may run only once is sent again only while every attempt before it is known not to have run; the
-// outcome NotRun is given only then, too; no more than HostRoute::maxAttempts targets can have run the request. Not
-// synchronized.
+// Decides how often one request is sent, and which outcome is reported. Guarantees, for every order in which attempts
+// end: A non-idempotent request is sent again only if no earlier attempt can have run. The outcome NotRun is
+// reported only if no attempt can have run. At most HostRoute::mostAttempts targets can have run the request.
+// Thread-compatible.
 class ForwardPlan
 {
 public:
-    // `route` must outlive the plan. `deadline` is the request's last moment.
+    // `route` must outlive the plan. No attempt starts at or after `deadline`.
     ForwardPlan(const HostRoute &route, Instant deadline);
 
-    // Returns true if another attempt may be started now, beside those that run or after those that failed.
+    // Returns true if another attempt may be started now, in parallel with running ones or after failed ones.
     bool mayStart(Instant now) const;
 
     // Returns true if no further attempt could follow the next one.
     bool nextAttemptIsLast() const;
 
-    // An attempt begins; the request's first byte goes out to its target.
+    // Report that an attempt starts, and that the first byte of the request is about to be sent to its target.
     void onStarted();
     void onSending();
 
-    // An attempt has ended without an answer to pass on. `sent`: a byte of the request went out.
+    // Reports that an attempt has ended without a response to forward. `sent`: a byte of the request was sent.
     void onFailed(AttemptResult result, bool sent);
 
-    // Returns what can be said of the request if it is given up now.
+    // Returns the outcome of the request if no further attempt is made.
     Outcome outcome() const;
 
-    // Returns the error to answer with when nothing is left to try or the time is up.
+    // Returns the error to respond with when no further attempt is possible or the deadline has passed.
     ErrorKind finalError(bool deadlinePassed) const;
 
     std::uint32_t started() const;
@@ -45,8 +45,8 @@
     const HostRoute &m_route;
     Instant m_deadline;
     std::uint32_t m_started = 0;
-    std::uint32_t m_running = 0; // attempts that have sent and haven't ended
-    std::uint32_t m_mayHaveRun = 0; // attempts that have sent, have ended, and weren't refused
+    std::uint32_t m_running = 0; // attempts that have sent bytes and haven't ended
+    std::uint32_t m_mayHaveRun = 0; // attempts that have sent bytes, have ended, and weren't shed
     AttemptResult m_lastResult = AttemptResult::Cancelled;
     AttemptResult m_lastPossiblyRunResult = AttemptResult::Cancelled;
 };
--- a/src/policy/bodyprogress.cpp
+++ b/src/policy/bodyprogress.cpp
@@ -12,7 +12,7 @@
 constexpr int StatusOk = 200;
 constexpr int StatusPartialContent = 206;
 
-// Takes a whole number and the separator behind it ('\0': the end) off the front of `text`.
+// Parses a whole number and the separator after it ('\0': the end), and removes both from the front of `text`.
 std::optional<std::uint64_t> parseNumber(std::string_view &text, char separator)
 {
     std::uint64_t value = 0;
@@ -32,7 +32,7 @@
     return value;
 }
 
-// Returns the bytes of the representation that an answer with this header holds, if it says so without contradiction.
+// Returns the byte range of a response with this header, or nullopt if the header has none or contradicts itself.
 std::optional<ByteRange> rangeOf(const BodyHeader &header)
 {
     if (header.framing != BodyFraming::Length || header.length == 0) {
--- a/src/policy/bodyprogresstest.cpp
+++ b/src/policy/bodyprogresstest.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-BodyHeader archive()
+BodyHeader fullHeader()
 {
     BodyHeader header;
     header.length = 1'000;
@@ -17,7 +17,7 @@
 
 BodyHeader restFrom(std::uint64_t first)
 {
-    BodyHeader header = archive();
+    BodyHeader header = fullHeader();
     header.status = 206;
     header.length = 1'000 - first;
     header.contentRange = "bytes " + std::to_string(first) + "-999/1000";
@@ -26,18 +26,18 @@
 
 } // namespace
 
-TEST_GROUP(BodyResume) {};
+TEST_GROUP(BodyProgress) {};
 
-TEST(BodyResume, brokenDownloadAsksForExactlyTheMissingBytes)
+TEST(BodyProgress, brokenDownloadRequestsExactlyTheMissingBytes)
 {
-    BodyProgress progress(archive());
+    BodyProgress progress(fullHeader());
     progress.accept(400);
     STRCMP_EQUAL("bytes=400-999", progress.resumeRequest()->range.c_str());
     STRCMP_EQUAL("\"v1\"", progress.resumeRequest()->ifRange.c_str());
     CHECK_TRUE(progress.isContinuedBy(restFrom(400)));
 }
 
-TEST(BodyResume, brokenRangeRequestContinuesWithinItsOwnRange)
+TEST(BodyProgress, brokenRangeRequestContinuesWithinItsOwnRange)
 {
     BodyHeader header = restFrom(600);
     header.length = 100;
@@ -47,12 +47,12 @@
     STRCMP_EQUAL("bytes=630-699", progress.resumeRequest()->range.c_str());
 }
 
-// Failure: a symbol archive holds the first half of one version and the second of another, or a gap.
-TEST(BodyResume, restThatIsNotProvenToFitIsRefused)
+// Guards against a downloaded file with parts of two versions, or with a gap, after a broken connection.
+TEST(BodyProgress, restThatIsNotProvenToMatchIsRejected)
 {
-    BodyProgress progress(archive());
+    BodyProgress progress(fullHeader());
     progress.accept(400);
-    CHECK_FALSE(progress.isContinuedBy(archive()));
+    CHECK_FALSE(progress.isContinuedBy(fullHeader()));
     CHECK_FALSE(progress.isContinuedBy(restFrom(399)));
     CHECK_FALSE(progress.isContinuedBy(restFrom(401)));
     BodyHeader other = restFrom(400);
@@ -66,17 +66,17 @@
     CHECK_FALSE(progress.isContinuedBy(other));
 }
 
-TEST(BodyResume, bodyWithoutStrongValidatorOrLengthIsNotResumed)
+TEST(BodyProgress, bodyWithoutStrongValidatorOrLengthIsNotResumed)
 {
-    BodyHeader weak = archive();
+    BodyHeader weak = fullHeader();
     weak.etag = "W/\"v1\"";
     CHECK_FALSE(BodyProgress(weak).resumeRequest().has_value());
-    BodyHeader chunked = archive();
+    BodyHeader chunked = fullHeader();
     chunked.framing = BodyFraming::Chunked;
     CHECK_FALSE(BodyProgress(chunked).resumeRequest().has_value());
 }
 
-TEST(BodyResume, impossibleContentRangesAreRefused)
+TEST(BodyProgress, impossibleContentRangesAreRejected)
 {
     CHECK_TRUE(parseContentRange("bytes 0-0/1").has_value());
     for (const char *value :
--- a/src/policy/configsnapshot.cpp
+++ b/src/policy/configsnapshot.cpp
@@ -1,5 +1,5 @@
-// The snapshot of a ConfigTable: lines of JSON, each an array that begins with what it holds. Items come in order of
-// name, so that the same table gives the same bytes whatever way it came about.
+// The snapshot of a ConfigTable: lines of JSON, each an array that begins with the kind of the line. Items are ordered
+// by name, so that equal tables have equal bytes independent of how they were built.
 #include <openssl/evp.h>
 
 #include "configtableprivate.h"
@@ -22,8 +22,8 @@
 constexpr const char *OutcomeLine = "e";
 constexpr const char *EndLine = "end";
 
-// Writes lines and counts them. The count ends the snapshot: a snapshot cut short would otherwise read as a smaller
-// table, and items would silently be missing.
+// Writes lines and counts them. The snapshot ends with the count. Without it, a truncated snapshot would be read as a
+// smaller table, and items would be missing without an error.
 class LineWriter
 {
 public:
@@ -65,7 +65,7 @@
     {
         const json::value &value = next();
         if (!value.is_string()) {
-            fail("must be a text");
+            fail("must be a string");
         }
         return { value.get_string().data(), value.get_string().size() };
     }
@@ -169,7 +169,7 @@
         line.fail("must be a snapshot of mulberryplank");
     }
     if (line.number<std::uint64_t>() != SnapshotFormat) {
-        line.fail("a snapshot of another format needs another mulberryplank");
+        line.fail("snapshot format is not supported by this version");
     }
     return line.number<Offset>();
 }
@@ -237,7 +237,7 @@
 namespace internal
 {
 
-// Builds a table from the lines of a snapshot.
+// Builds a ConfigStore from the lines of a snapshot.
 class SnapshotReader
 {
 public:
@@ -246,7 +246,7 @@
     {
     }
 
-    // Takes one line after the first. Throws FieldError.
+    // Reads one line after the first. Throws FieldError.
     void consume(std::string_view text, std::uint64_t number, std::vector<EditOutcome> &outcomes)
     {
         LineReader line(text, number);
@@ -266,7 +266,7 @@
         } else if (kind == EndLine) {
             m_ended = line.number<std::uint64_t>() + 1 == number;
         } else {
-            line.fail("no such kind of line");
+            line.fail("unknown kind of line");
         }
     }
 
@@ -295,7 +295,7 @@
 namespace internal
 {
 
-// Cuts pieces that come one after the other into lines, whatever lines they were cut through.
+// Splits consecutive pieces into lines. A line may extend over several pieces.
 class LineSplitter
 {
 public:
@@ -317,7 +317,7 @@
         m_partialLine += piece;
     }
 
-    // Passes on a last line without its end.
+    // Passes on a last line that has no line end.
     void finish()
     {
         if (!m_partialLine.empty()) {
@@ -377,7 +377,7 @@
         return failure(ErrorKind::BadConfiguration, "snapshot: " + error.detail);
     }
     if (!reader.ended() || hasTrailingLines) {
-        return failure(ErrorKind::BadConfiguration, "snapshot: cut short, or longer than it says");
+        return failure(ErrorKind::BadConfiguration, "snapshot: truncated, or has lines after its end");
     }
     for (const EditOutcome &outcome : outcomes) {
         table.m_d->remember(outcome);
--- a/src/policy/configstore.cpp
+++ b/src/policy/configstore.cpp
@@ -88,13 +88,13 @@
 {
     if (const auto *oldAccount = std::get_if<Account>(&key)) {
         const AccountEntry *entry = m_accounts.entry(oldAccount->name.value());
-        return entry && entry->rows != 0 ? std::to_string(entry->rows) + " rows still name it" : "";
+        return entry && entry->rows != 0 ? std::to_string(entry->rows) + " rows still refer to it" : "";
     }
     if (const auto *oldService = std::get_if<Service>(&key)) {
         const ServiceEntry *entry = m_services.entry(oldService->name.value());
         if (entry && (!entry->rows.empty() || !entry->targets.empty())) {
             return std::to_string(entry->rows.size()) + " rows and " + std::to_string(entry->targets.size())
-                   + " targets still name it";
+                   + " targets still refer to it";
         }
     }
     return "";
--- a/src/policy/configstore.h
+++ b/src/policy/configstore.h
@@ -14,11 +14,12 @@
 namespace mulberryplank::internal
 {
 
-// A small number that stands for an entry as long as the entry exists.
+// Index of an entry, valid as long as the entry exists.
 using Slot = std::uint32_t;
 
-// Entries found by name. Entries never move, and the index holds four bytes for each, so that hundreds of thousands
-// of them cost little more than their content. Entry has a member `item` with a member `name`.
+// Container of entries that are looked up by name. Entries never move in memory, and the index uses four bytes for
+// each, so that hundreds of thousands of entries need little more memory than their content. Entry must have a member
+// `item` with a member `name`.
 template<typename Entry>
 class NamedEntries
 {
@@ -52,7 +53,7 @@
         return m_entries[slot];
     }
 
-    // Adds an entry, whose name must be new.
+    // Adds an entry. No entry with its name may exist.
     Slot add(Entry entry)
     {
         Slot slot = static_cast<Slot>(m_entries.size());
@@ -74,7 +75,7 @@
         m_free.push_back(slot);
     }
 
-    // Returns the entries in order of name.
+    // Returns the entries ordered by name.
     std::vector<const Entry *> sorted() const
     {
         std::vector<const Entry *> entries;
@@ -129,14 +130,14 @@
 
 struct AccountEntry {
     Account item;
-    std::uint32_t rows = 0; // how many rows name it
+    std::uint32_t rows = 0; // number of rows that refer to it
 };
 
 struct TargetEntry {
     Target item;
 };
 
-// A row without its service's name and with a number for its account.
+// A row without the name of its service, with the slot of its account instead of the name.
 struct PackedRow {
     Slot account = 0;
     std::uint32_t weight = 1;
@@ -182,7 +183,7 @@
     boost::unordered_flat_set<PackedRow, PackedRowHash, PackedRowEqual> rows;
 };
 
-// The items of a table with their references to each other. Knows nothing of edits and versions.
+// The items of a table and the references between them. Does not handle edits and versions.
 class ConfigStore
 {
 public:
@@ -200,16 +201,16 @@
     // Returns the stored item with the name of `key`.
     std::optional<ConfigItem> find(const ConfigItem &key) const;
 
-    // Returns why the item can't be set, such as a missing service that it refers to; empty when it can.
+    // Returns why the item can't be set, such as a reference to a missing service, or an empty string if it can be set.
     std::string checkSet(const ConfigItem &item) const;
 
-    // Returns why the item can't be removed, such as rows that refer to it; empty when it can.
+    // Returns why the item can't be removed, such as rows that refer to it, or an empty string if it can be removed.
     std::string checkRemove(const ConfigItem &key) const;
 
-    // Adds or replaces the item; checkSet() must be empty.
+    // Adds or replaces the item. checkSet() must have returned an empty string.
     void set(const ConfigItem &item);
 
-    // Removes the item with the name of `key`, if any; checkRemove() must be empty.
+    // Removes the item with the name of `key`, if any. checkRemove() must have returned an empty string.
     void remove(const ConfigItem &key);
 
 private:
--- a/src/policy/configtable.cpp
+++ b/src/policy/configtable.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::array<std::string_view, 5> StatusNames { "accepted", "conflict", "invalid", "repeated", "unreadable" };
 
-// Bounds the memory that remembered outcomes take.
+// Bounds the memory used by remembered outcomes.
 constexpr std::size_t MaxDetailSize = 512;
 
 EditOutcome outcome(const EditId &id, Offset offset, EditStatus status, const std::string &detail)
@@ -42,8 +42,9 @@
     return item;
 }
 
-// Changes of one edit are carried out in this order, whatever their order in the edit, so that it is the table after
-// the whole edit that has to be sound: what refers to other items goes first, and comes last.
+// Returns the stage in which a change is applied. The changes of an edit are applied by stage instead of in their order
+// in the edit, so that only the table after the whole edit has to be consistent: items that refer to others are removed
+// first and set last.
 int stageOf(const Change &change)
 {
     const bool refers = std::holds_alternative<Row>(change.item) || std::holds_alternative<Target>(change.item);
@@ -69,7 +70,8 @@
     return "changes[" + std::to_string(index) + "]: " + itemLabel(change.item);
 }
 
-// Returns what keeps the edit from applying because somebody else edited first; empty when nothing does.
+// Returns a description of the first item that was changed since the version on which the edit is based, or an empty
+// string if there is none.
 std::string conflictOf(const ConfigStore &store, const Edit &edit)
 {
     for (std::size_t index = 0; index < edit.changes.size(); ++index) {
@@ -86,7 +88,7 @@
     return "";
 }
 
-// Carries out the changes of one edit, or none of them.
+// Applies all changes of one edit, or none of them.
 class Transaction
 {
 public:
@@ -96,7 +98,8 @@
     {
     }
 
-    // Returns why the edit is invalid, having undone whatever was done; empty when it is carried out.
+    // Applies the changes. If the edit is invalid, undoes the changes applied so far and returns the reason. Otherwise
+    // returns an empty string.
     std::string run(const std::vector<Change> &changes)
     {
         for (const std::size_t index : orderOf(changes)) {
@@ -210,7 +213,7 @@
 Result<EditOutcome> ConfigTable::apply(Offset offset, std::string_view record)
 {
     if (offset != m_d->next) {
-        const std::string what = offset < m_d->next ? " is in force already, " : " would leave a gap, ";
+        const std::string what = offset < m_d->next ? " was applied already, " : " would leave a gap, ";
         return failure(ErrorKind::Conflict,
                        "record " + std::to_string(offset) + what + std::to_string(m_d->next) + " is next");
     }
--- a/src/policy/configtabletest.cpp
+++ b/src/policy/configtabletest.cpp
@@ -28,7 +28,7 @@
                           outcome.detail.c_str());
     }
 
-    // Leaves account a, service s, target t and row (a, s) at version 1.
+    // Adds account a, service s, target t and row (a, s) at version 1.
     void fill()
     {
         checkStatus(EditStatus::Accepted,
@@ -40,7 +40,7 @@
     }
 };
 
-TEST(ConfigTable, sameTableByAnyRoute)
+TEST(ConfigTable, logAndSnapshotGiveTheSameTable)
 {
     CHECK_TRUE(rc::check("the log alone, or a snapshot and the rest of the log, give the same bytes", [] {
         const auto log = generateLog();
@@ -57,9 +57,9 @@
     }));
 }
 
-TEST(ConfigTable, editIsAcceptedWholeOrChangesNothing)
+TEST(ConfigTable, editIsAppliedAsAWholeOrNotAtAll)
 {
-    CHECK_TRUE(rc::check("versions follow a model that only knows accepted edits", [] {
+    CHECK_TRUE(rc::check("versions equal those of a model that applies accepted edits only", [] {
         const auto log = generateLog();
         ConfigTable fold;
         std::map<std::string, Version> model;
@@ -86,9 +86,9 @@
     }));
 }
 
-TEST(ConfigTable, itemsNeverReferToMissingOnes)
+TEST(ConfigTable, itemsNeverReferToMissingItems)
 {
-    CHECK_TRUE(rc::check("after any edits every reference holds, and lists agree with look-ups", [] {
+    CHECK_TRUE(rc::check("after any edits all references are valid, and lists agree with look-ups", [] {
         const auto log = generateLog();
         ConfigTable fold;
         applyUpTo(fold, log, log.size());
@@ -106,9 +106,8 @@
     }));
 }
 
-// Two operators read a row at the same version and both write it.
-// If both took effect, the first one's edit would vanish without anybody being told.
-TEST(ConfigTable, firstOfTwoRacingEditsWinsAndTheOtherSeesTheCurrentRow)
+// Two operators edit the same version of a row. If both edits were accepted, the first one would be lost silently.
+TEST(ConfigTable, firstOfTwoConcurrentEditsWinsAndTheOtherReportsTheCurrentRow)
 {
     fill();
     checkStatus(EditStatus::Accepted, record("first", { { row("a", "s", 5, 1), false } }));
@@ -118,8 +117,8 @@
     LONGS_EQUAL(5, table.row(AccountName("a"), ServiceName("s"))->weight);
 }
 
-// The answer to an append is lost, and the command appends the edit again. Meanwhile another edit followed.
-// Applied twice, the old edit would revert the newer one.
+// The response to an append is lost, and the command appends the edit again after another edit was accepted.
+// If the old edit were applied twice, it would revert the newer one.
 TEST(ConfigTable, repeatedEditKeepsItsFirstOutcome)
 {
     fill();
@@ -132,9 +131,9 @@
     LONGS_EQUAL(6, table.row(AccountName("a"), ServiceName("s"))->weight);
 }
 
-// A row is removed and made again while an operator still edits the old one.
-// With versions that begin anew, the old base would match by chance and overwrite the new row.
-TEST(ConfigTable, baseOfARemovedItemNeverMatchesItsSuccessor)
+// A row is removed and created again while an operator edits the old one.
+// If versions restarted, the old base version would match by chance and the edit would overwrite the new row.
+TEST(ConfigTable, versionOfARemovedItemNeverMatchesItsSuccessor)
 {
     fill();
     checkStatus(EditStatus::Accepted, record("remove", { { row("a", "s", 1, 1), true } }));
@@ -142,7 +141,7 @@
     checkStatus(EditStatus::Conflict, record("old", { { row("a", "s", 3, 1), false } }));
 }
 
-TEST(ConfigTable, whatIsReferredToCanNotBeRemoved)
+TEST(ConfigTable, referencedItemsCanNotBeRemoved)
 {
     fill();
     checkStatus(EditStatus::Invalid, record("1", { { service("s", 1), true } }));
@@ -157,7 +156,7 @@
                          { row("a", "s", 1, 1), true } }));
 }
 
-TEST(ConfigTable, olderRecordAndGapChangeNothing)
+TEST(ConfigTable, recordsAtOtherOffsetsChangeNothing)
 {
     fill();
     const std::string before = table.snapshot();
@@ -166,7 +165,7 @@
     STRCMP_EQUAL(before.c_str(), table.snapshot().c_str());
 }
 
-TEST(ConfigTable, remembersABoundedNumberOfEdits)
+TEST(ConfigTable, numberOfRememberedEditsIsBounded)
 {
     fill();
     for (std::size_t count = 0; count < MaxRememberedEdits; ++count) {
@@ -176,7 +175,7 @@
     CHECK_TRUE(table.outcomeOf(EditId("n0")).has_value());
 }
 
-TEST(ConfigTable, damagedSnapshotIsRefused)
+TEST(ConfigTable, corruptSnapshotIsRejected)
 {
     fill();
     const std::string bytes = table.snapshot();
--- a/src/policy/configtestdata.h
+++ b/src/policy/configtestdata.h
@@ -7,7 +7,7 @@
 
 #include "mulberryplank/policy/configtable.h"
 
-// Edits over a few items, so that random ones meet often.
+// Random edits of a small set of items, so that edits often concern the same item.
 namespace mulberryplank::testdata
 {
 
@@ -60,7 +60,7 @@
     return found ? found->version : 0;
 }
 
-// Draws numbers for one record from a single random number.
+// Derives several numbers from a single random number.
 class NumberSource
 {
 public:
@@ -71,38 +71,38 @@
 
     std::uint64_t below(std::uint64_t end)
     {
-        const std::uint64_t drawn = m_number % end;
+        const std::uint64_t number = m_number % end;
         m_number /= end;
-        return drawn;
+        return number;
     }
 
 private:
     std::uint64_t m_number;
 };
 
-inline ConfigItem generateItem(NumberSource &draw)
+inline ConfigItem generateItem(NumberSource &source)
 {
-    const std::string accountName = "a" + std::to_string(draw.below(3));
-    const std::string serviceName = "s" + std::to_string(draw.below(2));
-    switch (draw.below(4)) {
+    const std::string accountName = "a" + std::to_string(source.below(3));
+    const std::string serviceName = "s" + std::to_string(source.below(2));
+    switch (source.below(4)) {
     case 0:
         return account(accountName);
     case 1:
         return service(serviceName);
     case 2:
-        return target("t" + std::to_string(draw.below(2)), serviceName);
+        return target("t" + std::to_string(source.below(2)), serviceName);
     default:
-        return row(accountName, serviceName, 1 + static_cast<std::uint32_t>(draw.below(9)));
+        return row(accountName, serviceName, 1 + static_cast<std::uint32_t>(source.below(9)));
     }
 }
 
-// Returns a change that mostly names the current version, and else a stale or made-up one.
-inline Change generateChange(NumberSource &draw, const ConfigTable &table)
+// Returns a change that is usually based on the current version, and otherwise on a stale or invented one.
+inline Change generateChange(NumberSource &source, const ConfigTable &table)
 {
-    Change change { generateItem(draw), false };
+    Change change { generateItem(source), false };
     const Version current = currentVersion(table, change.item);
-    const Version base = draw.below(6) == 0 ? draw.below(5) : current;
-    change.remove = base != 0 && draw.below(3) == 0;
+    const Version base = source.below(6) == 0 ? source.below(5) : current;
+    change.remove = base != 0 && source.below(3) == 0;
     std::visit(
         [base](auto &item) {
             item.version = base;
@@ -111,7 +111,7 @@
     return change;
 }
 
-// Returns a log of edits: most of them sound, some conflicting, repeated, invalid or damaged.
+// Returns a log of edits: most are valid, some are conflicting, repeated, invalid or unreadable.
 inline std::vector<std::string> generateLog()
 {
     const auto number = rc::gen::resize(rc::kNominalSize, rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U));
@@ -119,16 +119,16 @@
     ConfigTable table;
     std::vector<std::string> log;
     for (const std::uint64_t seed : numbers) {
-        NumberSource draw(seed);
-        const auto kind = draw.below(12);
+        NumberSource source(seed);
+        const auto kind = source.below(12);
         if (kind == 0 && !log.empty()) {
-            log.push_back(log[draw.below(log.size())]);
+            log.push_back(log[source.below(log.size())]);
         } else if (kind == 1) {
             log.push_back(R"({"v":2,"id":"later"})");
         } else {
-            std::vector<Change> changes { generateChange(draw, table) };
-            const Change second = generateChange(draw, table);
-            if (draw.below(2) == 0 && itemLabel(second.item) != itemLabel(changes[0].item)) {
+            std::vector<Change> changes { generateChange(source, table) };
+            const Change second = generateChange(source, table);
+            if (source.below(2) == 0 && itemLabel(second.item) != itemLabel(changes[0].item)) {
                 changes.push_back(second);
             }
             log.push_back(record("e" + std::to_string(log.size()), std::move(changes)));
@@ -138,7 +138,7 @@
     return log;
 }
 
-// Applies the records from the table's next offset up to `end`.
+// Applies the records from the table's next offset to before `end`.
 inline void applyUpTo(ConfigTable &table, const std::vector<std::string> &log, Offset end)
 {
     while (table.nextOffset() < end) {
--- a/src/policy/edit.cpp
+++ b/src/policy/edit.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t EditFormat = 1;
 
-// A newer format is told apart from a damaged record, so that the operator sees that a proxy needs an upgrade.
+// Distinguishes a newer format from a corrupt record, so that the operator sees that a proxy needs an upgrade.
 void checkFormat(FieldReader &reader)
 {
     std::uint64_t format = 0;
--- a/src/policy/editcheck.cpp
+++ b/src/policy/editcheck.cpp
@@ -18,7 +18,7 @@
 constexpr double MaxRequestsPerSecond = 1e9;
 constexpr Millis MaxTimeout { 86'400'000 };
 
-// Collects the first error of one change, with the path of its field.
+// Records the first error of one change, with the path of its field.
 class ChangeCheck
 {
 public:
@@ -37,7 +37,7 @@
     void name(const std::string &field, const std::string &value)
     {
         constexpr std::string_view Allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-:@";
-        // A spreadsheet would take a cell that begins with - or @ for a formula.
+        // A spreadsheet would interpret a cell that begins with - or @ as a formula.
         constexpr std::size_t FirstAllowed = Allowed.find('.');
         const bool valid = !value.empty() && value.size() <= MaxNameLength && Allowed.find(value.front()) < FirstAllowed
                            && value.find_first_not_of(Allowed) == std::string::npos;
@@ -175,7 +175,7 @@
         }
         const std::string label = itemLabel(edit.changes[index].item);
         if (!seen.insert(label).second) {
-            return failure(ErrorKind::BadConfiguration, path + ": " + label + " stands in this edit twice");
+            return failure(ErrorKind::BadConfiguration, path + ": " + label + " appears twice in this edit");
         }
     }
     return {};
--- a/src/policy/edittest.cpp
+++ b/src/policy/edittest.cpp
@@ -20,9 +20,9 @@
 }
 ;
 
-TEST(Edit, decodesToWhatWasEncoded)
+TEST(Edit, decodedEditEqualsEncodedEdit)
 {
-    CHECK_TRUE(rc::check("an edit survives the log", [] {
+    CHECK_TRUE(rc::check("encoding and decoding preserve an edit", [] {
         const auto log = generateLog();
         for (const std::string &text : log) {
             if (const auto edit = decodeEdit(text)) {
@@ -33,7 +33,7 @@
     }));
 }
 
-TEST(Edit, namesTheFieldThatIsWrong)
+TEST(Edit, errorNamesTheInvalidField)
 {
     const Change valid { account("a"), false };
     checkContains(decodeErrorOf(record("e", { valid, { service("s"), false }, { row("a", "s", 10'001), false } })),
@@ -51,11 +51,11 @@
         decodeErrorOf(R"({"v":1,"id":"e","changes":[{"kind":"row","account":"a","service":"s","weight":-1}]})"),
         "changes[0].weight: must be a whole number in range, not -1");
     checkContains(decodeErrorOf(R"({"v":1,"id":"e","changes":[{"kind":"row","account":"a"}]})"), "changes[0].service");
-    checkContains(decodeErrorOf(record("e", { valid, valid })), "changes[1]: account a stands in this edit twice");
+    checkContains(decodeErrorOf(record("e", { valid, valid })), "changes[1]: account a appears twice in this edit");
     checkContains(decodeErrorOf("{"), "not JSON");
 }
 
-TEST(Edit, newerFormatIsToldFromDamage)
+TEST(Edit, newerFormatIsDistinguishedFromCorruption)
 {
     checkContains(decodeErrorOf(R"({"v":2,"id":"e","verdicts":[]})"),
                   "v: format newer than 1 needs a newer mulberryplank, not 2");
--- a/src/policy/forwardplan.cpp
+++ b/src/policy/forwardplan.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-// Attempts that certainly did not run, beyond the route's number: a full or vanished target costs little to find out
-// about, but each one costs the fleet's budget.
+// Maximum number of attempts that certainly did not run, in addition to the route's maximum. Detecting an overloaded or
+// stopped target is cheap, but each attempt uses the fleet's retry budget.
 constexpr std::uint32_t MaxRefusedAttempts = 3;
 
 ErrorKind notRunError(AttemptResult result)
@@ -47,12 +47,12 @@
         return false;
     }
     const std::uint32_t refused = m_started - mayRun;
-    return mayRun < m_route.maxAttempts && refused < internal::MaxRefusedAttempts;
+    return mayRun < m_route.mostAttempts && refused < internal::MaxRefusedAttempts;
 }
 
 bool ForwardPlan::nextAttemptIsLast() const
 {
-    return m_running + m_mayHaveRun + 1 >= m_route.maxAttempts;
+    return m_running + m_mayHaveRun + 1 >= m_route.mostAttempts;
 }
 
 void ForwardPlan::onStarted()
--- a/src/policy/forwardplantest.cpp
+++ b/src/policy/forwardplantest.cpp
@@ -14,11 +14,11 @@
 constexpr Instant Start { Seconds(1'000) };
 constexpr Instant Deadline { Seconds(1'003) };
 
-HostRoute routeOf(RouteKind kind, std::uint32_t maxAttempts)
+HostRoute routeOf(RouteKind kind, std::uint32_t mostAttempts)
 {
     HostRoute route;
     route.kind = kind;
-    route.maxAttempts = maxAttempts;
+    route.mostAttempts = mostAttempts;
     return route;
 }
 
@@ -30,7 +30,7 @@
 
 TEST_GROUP(ForwardPlan) {};
 
-TEST(ForwardPlan, requestThatRunsOnceIsNotSentAgainAfterAReset)
+TEST(ForwardPlan, nonIdempotentRequestIsNotSentAgainAfterAReset)
 {
     const HostRoute route = routeOf(RouteKind::Once, 3);
     ForwardPlan plan(route, Deadline);
@@ -42,7 +42,7 @@
     CHECK_TRUE(plan.outcome() == Outcome::Unknown);
 }
 
-TEST(ForwardPlan, requestThatRunsOnceIsSentAgainAfterARefusal)
+TEST(ForwardPlan, nonIdempotentRequestIsSentAgainAfterAShed)
 {
     const HostRoute route = routeOf(RouteKind::Once, 2);
     ForwardPlan plan(route, Deadline);
@@ -61,14 +61,14 @@
     CHECK_TRUE(plan.finalError(true) == ErrorKind::DeadlineBeforeStart);
 }
 
-TEST(ForwardPlan, whateverAttemptsComeToNoPromiseIsBroken)
+TEST(ForwardPlan, guaranteesHoldForEveryOrderOfResults)
 {
-    CHECK_TRUE(rc::check("at most once, at most so often, truthful", [] {
+    CHECK_TRUE(rc::check("at most once, at most the allowed number of times, correct outcome", [] {
         const auto kind = *rc::gen::element(RouteKind::Idempotent, RouteKind::Once, RouteKind::LargeAnswer);
         const HostRoute route = routeOf(kind, *rc::gen::inRange<std::uint32_t>(1, 4));
         ForwardPlan plan(route, Deadline);
         std::uint32_t mayHaveRun = 0;
-        std::vector<bool> running; // whether the attempt has sent
+        std::vector<bool> running; // whether the attempt has sent bytes
         for (int step = 0; step < 30; ++step) {
             if (*rc::gen::inRange(0, 2) == 0 && plan.mayStart(Start)) {
                 const bool sends = *rc::gen::arbitrary<bool>();
@@ -85,7 +85,7 @@
                 plan.onFailed(result, sent);
                 mayHaveRun -= sent && result == AttemptResult::Shed ? 1 : 0;
             }
-            RC_ASSERT(mayHaveRun <= route.maxAttempts);
+            RC_ASSERT(mayHaveRun <= route.mostAttempts);
             RC_ASSERT(isIdempotent(kind) || mayHaveRun <= 1);
             RC_ASSERT((plan.outcome() == Outcome::NotRun) == (mayHaveRun == 0));
             const ErrorAnswer &answer = errorAnswer(plan.finalError(false));
@@ -94,7 +94,7 @@
     }));
 }
 
-TEST(ForwardPlan, theNextAttemptIsTheLastWhenNoneMayRunBesides)
+TEST(ForwardPlan, nextAttemptIsLastWhenNoOtherMayFollow)
 {
     const HostRoute route = routeOf(RouteKind::Idempotent, 2);
     ForwardPlan plan(route, Deadline);
--- a/src/policy/headerrules.cpp
+++ b/src/policy/headerrules.cpp
@@ -9,23 +9,23 @@
 namespace internal
 {
 
-// Fields that concern one hop only (RFC 9110, 7.6.1), whether or not a Connection header names them.
+// Hop-by-hop fields (RFC 9110, 7.6.1), even if the Connection header doesn't list them.
 constexpr std::array<std::string_view, 9> HopByHopFields {
     "Connection", "Keep-Alive",        "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
     "Trailer",    "Transfer-Encoding", "Upgrade",
 };
 
-// Fields towards a target that the product sets itself, or that are for the product alone. Expect is answered here.
+// Request fields that the proxy sets itself, or that are addressed to the proxy only. The proxy responds to Expect.
 constexpr std::array<std::string_view, 6> RequestFieldsNotForwarded {
     "Authorization", RequestIdHeader, DeadlineHeader, AccountHeader, IdempotencyKeyHeader, "Expect",
 };
 
-// Fields towards a caller that the product sets itself, or that are between it and its targets.
+// Response fields that the proxy sets itself, or that are exchanged between the proxy and its targets only.
 constexpr std::array<std::string_view, 5> ResponseFieldsNotForwarded {
     RequestIdHeader, OutcomeHeader, NotRunHeader, LoadHeader, DrainingHeader,
 };
 
-// Fields without which an answer can't be read whole; a Connection header that names them is not obeyed.
+// Fields that are needed to read a message completely. They are forwarded even if the Connection header lists them.
 constexpr std::array<std::string_view, 2> AlwaysEndToEnd {
     "Content-Length",
     "Content-Range",
--- a/src/policy/headerrulestest.cpp
+++ b/src/policy/headerrulestest.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(HeaderRules) {};
 
-TEST(HeaderRules, fieldsOfOneHopAreNotPassedOn)
+TEST(HeaderRules, hopByHopFieldsAreNotForwarded)
 {
     CHECK_FALSE(forwardToTarget("connection", ""));
     CHECK_FALSE(forwardToTarget("TRANSFER-ENCODING", ""));
@@ -16,8 +16,9 @@
     CHECK_TRUE(forwardToTarget("Accept", "close"));
 }
 
-// Failure: a target believes in another account than the one that called, or learns its secret.
-TEST(HeaderRules, fieldsThatTheProxyVouchesForDontComeFromCallers)
+// Guards against a caller that forges another account towards a target, and against a target that receives the caller's
+// secret.
+TEST(HeaderRules, fieldsSetByTheProxyAreNotForwardedFromEitherSide)
 {
     CHECK_FALSE(forwardToTarget("authorization", ""));
     CHECK_FALSE(forwardToTarget("x-account", ""));
@@ -27,8 +28,8 @@
     CHECK_FALSE(forwardToCaller("X-Not-Run", ""));
 }
 
-// Failure: a caller takes a cut body for a whole one.
-TEST(HeaderRules, lengthIsPassedOnThoughConnectionNamesIt)
+// Without the length, a caller would treat a truncated body as complete.
+TEST(HeaderRules, contentLengthIsForwardedEvenIfConnectionListsIt)
 {
     CHECK_TRUE(forwardToCaller("Content-Length", "content-length"));
 }
--- a/src/policy/itemjson.cpp
+++ b/src/policy/itemjson.cpp
@@ -8,7 +8,8 @@
 
 namespace json = boost::json;
 
-constexpr std::array<std::string_view, 4> ItemKinds { "account", "service", "target", "row" }; // as in ConfigItem
+// In the order of the types in ConfigItem.
+constexpr std::array<std::string_view, 4> ItemKinds { "account", "service", "target", "row" };
 
 std::string toHex(const std::uint8_t *bytes, std::size_t size)
 {
@@ -90,7 +91,7 @@
 {
     if (const json::value *value = find(key)) {
         if (!value->is_string()) {
-            fail(key, "must be a text");
+            fail(key, "must be a string");
         }
         out.assign(value->get_string().data(), value->get_string().size());
     }
--- a/src/policy/itemjson.h
+++ b/src/policy/itemjson.h
@@ -12,7 +12,7 @@
 namespace mulberryplank::internal
 {
 
-// A field of a JSON text that can't be taken, with its path. Thrown and caught within the codecs only.
+// An invalid field of a JSON text, with its path. Thrown and caught within the codecs only.
 struct FieldError : std::exception {
     explicit FieldError(std::string text)
         : detail(std::move(text))
@@ -22,14 +22,15 @@
     std::string detail;
 };
 
-// Reads the fields of one JSON object and names the path of whatever is wrong with them.
+// Reads the fields of one JSON object. Errors contain the path of the invalid field.
 class FieldReader
 {
 public:
     // Throws FieldError if `value` isn't an object.
     FieldReader(const boost::json::value &value, std::string path);
 
-    // Each stores the field's value in `out`. A field that is missing leaves `out` alone, unless it is required.
+    // Each stores the field's value in `out`, or leaves `out` unchanged if the field is missing. Throws FieldError if
+    // the value is invalid.
     void read(std::string_view key, std::string &out);
     void read(std::string_view key, bool &out);
     void read(std::string_view key, double &out);
@@ -58,13 +59,13 @@
         out = number;
     }
 
-    // Throws unless the object has the field.
+    // Throws FieldError unless the object has the field.
     void require(std::string_view key) const;
 
-    // Returns the field, or nullptr, and counts it as known.
+    // Returns the field or nullptr, and marks the key as known.
     const boost::json::value *find(std::string_view key);
 
-    // Throws if the object has a field that nobody asked for: a misspelt field would otherwise be lost silently.
+    // Throws FieldError if the object has an unknown field. A misspelled field would otherwise be ignored silently.
     void rejectUnknownFields() const;
 
     [[noreturn]] void fail(std::string_view key, std::string_view rule) const;
@@ -82,7 +83,7 @@
 
 boost::json::object toJson(const ConfigItem &item);
 
-// Returns the item that `value` stands for; throws FieldError. An item to remove needs no more than its name.
+// Returns the item that `reader` reads, or throws FieldError. An item to remove only needs its name.
 ConfigItem itemFromJson(FieldReader &reader, bool remove);
 
 // Returns the JSON value of `text`, or throws FieldError.
--- a/src/policy/requestcheck.cpp
+++ b/src/policy/requestcheck.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view LineEnd = "\r\n";
 
-// What checkHeaderBlock() remembers of the fields that say where a request ends and whom it is for.
+// The fields of a header block that determine where the request ends and which host it is for.
 struct FramingFields {
     int contentLengths = 0;
     int transferEncodings = 0;
@@ -66,7 +66,7 @@
 Result<void> checkField(std::string_view line, FramingFields &fields)
 {
     if (line.front() == ' ' || line.front() == '\t') {
-        return reject("header line continued on the next (obs-fold)");
+        return reject("folded header line (obs-fold)");
     }
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || colon == 0) {
@@ -74,7 +74,7 @@
     }
     const std::string_view name = line.substr(0, colon);
     if (name.find_first_of(" \t") != std::string_view::npos) {
-        return reject("whitespace in or behind a header name");
+        return reject("whitespace in or after a header name");
     }
     const std::string_view value = trimBlanks(line.substr(colon + 1));
     if (equalsIgnoringCase(name, "content-length")) {
@@ -92,7 +92,8 @@
     return {};
 }
 
-// An absolute-form target names a host of its own; two hosts in one request are two answers to whom it is for.
+// A request target in absolute form has its own host. If it differs from Host, it is ambiguous which host the request
+// is for.
 Result<void> checkRequestLine(std::string_view line, const FramingFields &fields)
 {
     constexpr std::string_view Scheme = "http://";
@@ -109,7 +110,7 @@
         return {};
     }
     if (!startsIgnoringCase(target, Scheme)) {
-        return reject("request target is neither a path nor an http address");
+        return reject("request target is neither a path nor an http URL");
     }
     const std::string_view rest = target.substr(Scheme.size());
     const std::string_view authority = rest.substr(0, rest.find_first_of("/?#"));
@@ -183,7 +184,7 @@
         }
     }
     if (!block.empty()) {
-        return internal::reject("bytes behind the header");
+        return internal::reject("bytes after the header");
     }
     if (Result<void> checked = internal::checkFraming(fields); !checked) {
         return checked;
--- a/src/policy/requestchecktest.cpp
+++ b/src/policy/requestchecktest.cpp
@@ -31,8 +31,8 @@
     CHECK_TRUE(accepted(Line + Host + "X-Note:\tbl\xc3\xa4tter\r\n" + End));
 }
 
-// Failure: one account's request arrives in front of another's.
-TEST(RequestCheck, requestsThatReadersDelimitDifferentlyAreRefused)
+// Guards against request smuggling, where one account's request is placed in front of another account's.
+TEST(RequestCheck, requestsThatParsersDelimitDifferentlyAreRejected)
 {
     const std::array<std::string, 22> Blocks {
         Line + Host + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n" + End,
@@ -63,7 +63,7 @@
     }
 }
 
-TEST(RequestCheck, requestForTwoHostsOrNoneIsRefused)
+TEST(RequestCheck, requestForTwoHostsOrNoneIsRejected)
 {
     CHECK_FALSE(accepted(Line + End));
     CHECK_FALSE(accepted(Line + Host + Host + End));
@@ -72,7 +72,7 @@
     CHECK_FALSE(accepted("CONNECT gateway:80 HTTP/1.1\r\n" + Host + End));
 }
 
-TEST(RequestCheck, blockEndsAtItsFirstEmptyLineHoweverWritten)
+TEST(RequestCheck, blockEndsAtFirstEmptyLineWithAnyLineEnding)
 {
     const std::string block = Line + Host + End;
     CHECK_TRUE(headerBlockLength(block + "body\r\n\r\n") == block.size());
--- a/src/policy/requestplan.cpp
+++ b/src/policy/requestplan.cpp
@@ -80,12 +80,13 @@
         return steps;
     }
     if (m_phase == Phase::Forwarding && m_progress->complete()) {
-        // Nothing is missing: the answer ends when its last bytes have been passed on.
+        // The body is complete: the response ends when its last bytes have been forwarded.
         m_receivedExcessBytes = true;
         return steps;
     }
-    // A pooled connection that something in between has forgotten fails on use though its target is well. One fresh
-    // connection tells the two apart; without it a healthy target would be blamed and the request lost.
+    // A pooled connection that a middlebox has dropped fails on use although its target is healthy. One new connection
+    // distinguishes this from a failed target. Without it, the failure would count against a healthy target and the
+    // request would be lost.
     const bool repeatable = (m_settings.idempotent || !running->bytesSent) && !m_requestBodyDiscarded;
     const bool stale = result == AttemptResult::Reset && running->reusedConnection && running->target;
     if (m_phase == Phase::Waiting && stale && repeatable && !m_reconnected && !m_settings.deadline.passed(now)) {
--- a/src/policy/requestplansteps.cpp
+++ b/src/policy/requestplansteps.cpp
@@ -1,4 +1,4 @@
-// The decisions behind the events of RequestPlan; attempts.cpp has the events themselves.
+// Private functions of RequestPlan. Its public functions are in requestplan.cpp.
 #include "mulberryplank/policy/requestplan.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 constexpr int FirstErrorStatus = 400;
 constexpr int FirstServerErrorStatus = 500;
-constexpr int StatusNotImplemented = 501; // says something of the request, not of the target
+constexpr int StatusNotImplemented = 501; // caused by the request, not by the target
 constexpr int MinRetryAfterSeconds = 1;
 
 bool isShed(const ResponseSummary &header)
@@ -34,7 +34,7 @@
     return found == m_running.end() ? nullptr : &*found;
 }
 
-// The guard of "run at most once": a request that isn't idempotent is only started again while outcome() is NotRun.
+// Enforces at-most-once execution: a non-idempotent request is started again only while outcome() is NotRun.
 bool RequestPlan::mayStartAgain(Instant now) const
 {
     if (m_attemptsWithoutResumes >= m_settings.maxAttempts || m_requestBodyDiscarded
@@ -59,7 +59,8 @@
     return *header.requestId != attemptRequestId(attempt);
 }
 
-// A caller with a deadline of its own could otherwise have healthy targets blamed by asking for the impossible.
+// A timeout at the caller's own deadline doesn't count against the target: a caller could otherwise make healthy
+// targets appear faulty by sending deadlines that are too short.
 AttemptResult RequestPlan::timeoutResult() const
 {
     return m_settings.deadlineFromCaller ? AttemptResult::Cancelled : AttemptResult::Timeout;
@@ -96,7 +97,7 @@
     steps.push_back(step);
 }
 
-// Sets the time of the next retry or resume if there may be one; takes its token from the budget.
+// Schedules the next retry or resume if the deadline and the retry budget allow it, and takes a token from the budget.
 bool RequestPlan::scheduleStart(Instant now)
 {
     const Instant at = now + backoff(m_settings.backoff, m_retries + 1, m_random);
@@ -156,7 +157,7 @@
         return;
     }
     if (header.body.framing == BodyFraming::UntilClose) {
-        // The end of such a body can't be told from a cut connection, so its wholeness can't be promised.
+        // The end of such a body looks like a broken connection, so completeness can't be guaranteed.
         fail(attempt, AttemptResult::Truncated, now, steps);
         return;
     }
@@ -188,7 +189,7 @@
     } else if (internal::isServerError(header)) {
         fail(attempt, AttemptResult::ServerError, now, steps);
     } else {
-        // It holds another version, or none: nothing that speaks against the target.
+        // The target has another version of the resource, or none, which is no evidence against the target.
         fail(attempt, AttemptResult::Cancelled, now, steps);
     }
 }
@@ -300,7 +301,7 @@
     }
 }
 
-// Returns true if an attempt's time was up.
+// Returns true if an attempt has timed out.
 bool RequestPlan::onAttemptTimeout(Instant now, Steps &steps)
 {
     const auto expired = std::find_if(m_running.begin(), m_running.end(), [now](const RunningAttempt &running) {
@@ -316,7 +317,7 @@
         recordFailure(*expired, timeoutResult());
         cancel(expired->number, timeoutResult(), steps);
     } else {
-        // Nothing can follow this attempt, so it gets all the time there is.
+        // No other attempt can follow, so this one may use the time until the deadline.
         expired->timeoutAt = m_settings.deadline.at();
     }
     return true;
--- a/src/policy/requestplantest.cpp
+++ b/src/policy/requestplantest.cpp
@@ -19,31 +19,32 @@
 
 const Instant Begin = Instant(std::chrono::hours(1));
 
-// Returns a number from `first` to below `end`. RapidCheck narrows ranges in its first runs; here each is used whole.
+// Returns a random number from `first` to below `end`. Always uses the whole range, which RapidCheck narrows in its
+// first runs otherwise.
 template<typename Number = int>
 Number randomNumber(Number first, Number end)
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(first, end));
 }
 
-// One attempt as the network and its target see it.
+// State of one attempt in the network and at its target.
 struct FakeAttempt {
     TargetIndex target = 0;
     std::optional<ResumeRequest> resume;
-    bool picked = false;
+    bool targetSelected = false;
     bool sent = false;
-    bool shed = false; // the target refused it and will never run it
+    bool shed = false; // the target rejected it and will never run it
     bool ran = false;
     bool cancelled = false;
     bool headerSent = false;
     BodyHeader header;
-    std::string body; // what the target sends behind the header
+    std::string body; // body that the target sends after the header
     std::size_t position = 0;
-    bool forAnotherRequest = false; // the respond belongs to another request
+    bool forAnotherRequest = false; // the response belongs to another request
 };
 
-// A caller, the plan, and targets that run, shed, cross, cut, repeat and delay as the schedule says. Two versions of
-// the same resource are about, with tags of their own.
+// Simulates a caller, the plan, and targets. According to a random schedule, targets run, shed, mix up, truncate,
+// repeat and delay requests and responses. The targets have two versions of one resource, each with its own entity tag.
 class RequestSimulation
 {
 public:
@@ -68,7 +69,7 @@
         m_now = std::max(m_now, m_deadline);
         perform(m_plan.onTimer(m_now));
         RC_ASSERT(m_plan.done());
-        // Bytes that are under way arrive in the end, whatever the proxy has answered in the meantime.
+        // Bytes in flight still arrive, whatever response the proxy has sent in the meantime.
         for (auto &[number, attempt] : m_attempts) {
             runRequest(attempt);
         }
@@ -115,11 +116,12 @@
         }
     }
 
-    // Takes the attempt one step on: a target is picked, the request sent, its header answered, late or a second time.
+    // Performs the next step of the attempt: selects a target, sends the request, or responds with a header, possibly
+    // late or a second time.
     void advance(AttemptNumber number, FakeAttempt &attempt)
     {
-        if (!attempt.picked) {
-            pick(number, attempt);
+        if (!attempt.targetSelected) {
+            selectTarget(number, attempt);
         } else if (!attempt.sent) {
             send(number, attempt);
         } else {
@@ -127,13 +129,13 @@
         }
     }
 
-    void pick(AttemptNumber number, FakeAttempt &attempt)
+    void selectTarget(AttemptNumber number, FakeAttempt &attempt)
     {
         if (randomNumber(0, 10) == 0) {
             perform(m_plan.onNoTarget(number, ErrorKind::NoTarget, 0));
             return;
         }
-        attempt.picked = true;
+        attempt.targetSelected = true;
         m_plan.onTargetSelected(number, attempt.target, *rc::gen::arbitrary<bool>(), m_now);
     }
 
@@ -190,7 +192,7 @@
         }
     }
 
-    // Answers the range that was requested for, sometimes from the wrong byte on.
+    // Responds with the requested range, sometimes starting at the wrong byte.
     void respondWithRange(FakeAttempt &attempt, const std::string &whole)
     {
         const std::string &requested = attempt.resume->range;
@@ -223,7 +225,7 @@
 
     void failConnection(AttemptNumber number, FakeAttempt &attempt)
     {
-        if (attempt.picked) {
+        if (attempt.targetSelected) {
             const AttemptResult result = attempt.sent ? AttemptResult::Reset : AttemptResult::ConnectFailed;
             perform(m_plan.onFailed(number, result, m_now));
         }
@@ -278,7 +280,8 @@
         if (!m_idempotent) {
             RC_ASSERT(m_runs <= 1);
         }
-        // One free reconnection and one first attempt; everything else is paid for, or moved before a byte was sent.
+        // One reconnection and the first attempt need no token. Each other attempt takes one, or was moved before a
+        // byte was sent.
         const int paid = m_initialTokens - m_tokens;
         RC_ASSERT(!m_idempotent || static_cast<int>(sentAttempts()) <= paid + 2);
         if (m_forwarded) {
@@ -339,12 +342,13 @@
 
 } // namespace
 
-TEST_GROUP(Attempts) {};
+TEST_GROUP(RequestPlan) {};
 
-// Failure: a booking is made twice, or a caller gets another's or half an respond, or a "not run" that is untrue.
-TEST(Attempts, promisesHoldForEveryScheduleOfFaults)
+// Guards against a request that runs twice, a caller that gets a partial response or that of another request, and an
+// incorrect outcome NotRun.
+TEST(RequestPlan, guaranteesHoldForEveryScheduleOfFaults)
 {
-    CHECK_TRUE(rc::check("promises hold", [] {
+    CHECK_TRUE(rc::check("guarantees hold", [] {
         constexpr int SchedulesPerCase = 50;
         for (int schedule = 0; schedule < SchedulesPerCase; ++schedule) {
             RequestPlanSettings settings = settingsFor(*rc::gen::arbitrary<bool>());
@@ -358,8 +362,8 @@
     }));
 }
 
-// Failure: a print run is booked twice.
-TEST(Attempts, requestThatIsNotIdempotentIsNotSentAgainAfterReset)
+// Guards against a non-idempotent request, such as the booking of a print run, that runs twice.
+TEST(RequestPlan, nonIdempotentRequestIsNotSentAgainAfterReset)
 {
     RequestPlan plan(settingsFor(false), alwaysSpend);
     plan.start();
@@ -372,8 +376,8 @@
     CHECK_TRUE(steps[0].outcome == Outcome::Unknown);
 }
 
-// Failure: a healthy target is blamed after an idle night.
-TEST(Attempts, stalePooledConnectionIsReplacedOnceOnTheSameTarget)
+// Guards against failures that count against a healthy target because pooled connections became stale while idle.
+TEST(RequestPlan, stalePooledConnectionIsReplacedOnceOnTheSameTarget)
 {
     RequestPlan plan(settingsFor(true), [] {
         return false;
@@ -390,8 +394,8 @@
     CHECK_TRUE(failed[0].kind == StepKind::Respond);
 }
 
-// Failure: a target sheds and is requested again at once.
-TEST(Attempts, shedRequestMovesToAnotherTargetAndPassesOnTheHint)
+// Guards against a request that is sent again to the target that has just shed it.
+TEST(RequestPlan, shedRequestMovesToAnotherTargetAndRetryAfterIsForwarded)
 {
     RequestPlanSettings settings = settingsFor(false);
     settings.maxAttempts = 2;
@@ -415,8 +419,8 @@
     CHECK_EQUAL(7, last.back().retryAfterSeconds);
 }
 
-// Failure: a caller gets healthy targets ejected by asking with deadlines of a millisecond.
-TEST(Attempts, deadlineOfTheCallersOwnIsNoEvidence)
+// Guards against a caller that causes the ejection of healthy targets by sending deadlines of a millisecond.
+TEST(RequestPlan, timeoutAtTheCallersDeadlineIsNotEvidenceAgainstTheTarget)
 {
     RequestPlanSettings settings = settingsFor(false);
     settings.deadlineFromCaller = true;
@@ -429,7 +433,7 @@
     CHECK_TRUE(steps[0].result == AttemptResult::Cancelled);
 }
 
-TEST(Attempts, slowCallerIsNotTakenForStalledTarget)
+TEST(RequestPlan, slowCallerIsNotMistakenForStalledTarget)
 {
     RequestPlan plan(settingsFor(true), alwaysSpend);
     plan.start();
--- a/src/policy/tablecsv.cpp
+++ b/src/policy/tablecsv.cpp
@@ -54,7 +54,7 @@
     std::string detail;
 };
 
-// Takes the cells of the file line by line and turns them into rows.
+// Converts the cells of the file to rows, line by line.
 class TableReader
 {
 public:
@@ -90,7 +90,7 @@
             }
             const auto column = static_cast<Column>(heading - Headings.begin());
             if (std::find(m_columns.begin(), m_columns.end(), column) != m_columns.end()) {
-                fail(line, cell, "stands in the header line twice", cell);
+                fail(line, cell, "appears twice in the header line", cell);
             }
             m_columns.push_back(column);
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    // Where a semicolon parts the cells, the comma is free to be the decimal mark.
+    // If semicolons separate the cells, a comma may be the decimal separator.
     std::string withDecimalPoint(std::string cell) const
     {
         if (m_delimiter == ';') {
@@ -164,7 +164,7 @@
         return value;
     }
 
-    // The rules for names and ranges are those of an edit.
+    // Applies the rules of an edit to names and ranges.
     void checkRow(std::size_t line, const Row &row)
     {
         const std::string place = "line " + std::to_string(line) + ", ";
@@ -174,7 +174,7 @@
         }
         const auto [known, isNew] = m_lines.emplace(std::pair(row.account, row.service), line);
         if (!isNew) {
-            throw TableError { place + itemLabel(row) + " stands on line " + std::to_string(known->second)
+            throw TableError { place + itemLabel(row) + " appears on line " + std::to_string(known->second)
                                + " already" };
         }
     }
@@ -193,7 +193,7 @@
     std::map<std::pair<AccountName, ServiceName>, std::size_t> m_lines;
 };
 
-// Runs libcsv over the text, one line after the other, so that a error's line is known.
+// Runs libcsv over the text line by line, so that the line of an error is known.
 class CsvParser
 {
 public:
@@ -222,13 +222,13 @@
             deliverLines(line, reader);
         }
         if (csv_fini(&m_parser, onCell, onLineEnd, this) != 0) {
-            throw TableError { "line " + std::to_string(line) + ": a quoted cell doesn't end" };
+            throw TableError { "line " + std::to_string(line) + ": a quoted cell is not closed" };
         }
         deliverLines(line, reader);
     }
 
 private:
-    // libcsv is C: no exception may pass through it, so its calls only collect.
+    // libcsv is a C library, through which no exception may propagate, so its callbacks only collect cells.
     static void onCell(void *data, std::size_t size, void *self)
     {
         static_cast<CsvParser *>(self)->m_cells.emplace_back(static_cast<const char *>(data), size);
@@ -254,7 +254,7 @@
     std::vector<Cells> m_lines;
 };
 
-// Spreadsheets of many countries write semicolons, and the header line has none of either inside a cell.
+// Spreadsheets write semicolons in many locales. No cell of the header line contains a comma or a semicolon.
 char delimiterOf(std::string_view text)
 {
     const std::string_view header = text.substr(0, text.find('\n'));
--- a/src/policy/tablecsvtest.cpp
+++ b/src/policy/tablecsvtest.cpp
@@ -21,7 +21,7 @@
     }
 };
 
-TEST(TableCsv, exportedTableComesBackWithoutDifferences)
+TEST(TableCsv, exportedTableIsParsedWithoutDifferences)
 {
     CHECK_TRUE(rc::check("export and import change nothing", [] {
         const auto log = generateLog();
@@ -34,7 +34,7 @@
     }));
 }
 
-TEST(TableCsv, takesWhatSpreadsheetsSave)
+TEST(TableCsv, filesSavedBySpreadsheetsAreParsed)
 {
     const auto rows = parseTable("\xef\xbb\xbf"
                                  "service;account;weight;requests_per_second;in_flight;queue;version\r\n"
@@ -46,19 +46,20 @@
     CHECK_TRUE(rows->at(0) == (Row { AccountName("kpc"), ServiceName("pressdesk"), 3, { 1.5, 4, 8 }, 17 }));
 }
 
-TEST(TableCsv, namesLineHeadingAndValueOfAFault)
+TEST(TableCsv, errorNamesLineHeadingAndValue)
 {
     checkError(header + "a,s,heavy,0,0,0,0\n", "line 2, weight: must be a number in range, not \"heavy\"");
     checkError(header + "\na,s,0,0,0,0,0\n", "line 3, weight: must be 1 to 10000, not \"0\"");
-    checkError(header + "a,s,1,0,0,0,0\nb,s,1,0,0,0,0\na,s,2,0,0,0,0\n", "line 4, row (a, s) stands on line 2 already");
+    checkError(header + "a,s,1,0,0,0,0\nb,s,1,0,0,0,0\na,s,2,0,0,0,0\n",
+               "line 4, row (a, s) appears on line 2 already");
     checkError(header + "a,s,1\n", "line 2: 3 cells where the header line has 7");
     checkError("account,service,wieght\n", "line 1, wieght: no such column, not \"wieght\"");
     checkError("account,service\n", "line 1, weight: the column is missing, not \"\"");
-    checkError(header + "\"a,s,1,0,0,0,0\n", "line 2: a quoted cell doesn't end");
+    checkError(header + "\"a,s,1,0,0,0,0\n", "line 2: a quoted cell is not closed");
     checkError("", "line 1: the header line is missing");
 }
 
-TEST(TableCsv, onlyWhatDiffersIsChangedAndOnlyWhatIsNamedIsRemoved)
+TEST(TableCsv, onlyDifferingRowsAreChangedAndOnlyListedRowsAreRemoved)
 {
     ConfigTable table;
     CHECK_TRUE(table
