--- a/include/mulberryplank/policy/requestplan.h
+++ b/include/mulberryplank/policy/requestplan.h
@@ -68,7 +68,7 @@
     bool deadlineFromCaller = false; // below the route's timeout, so missing it is no evidence against the target
     Duration progressTimeout {}; // maximum time between two pieces of a body
     std::optional<Duration> hedgeDelay {}; // HedgeDelay::delay() of the route; nullopt: no hedging
-    std::uint32_t maxAttempts = 3; // without resumes
+    std::uint32_t mostAttempts = 3; // without resumes
     std::uint32_t maxResumes = 5;
     BackoffSettings backoff {};
     std::uint32_t seed = 1; // for the backoff's jitter
--- a/src/policy/requestplan.cpp
+++ b/src/policy/requestplan.cpp
@@ -33,7 +33,7 @@
         return;
     }
     const std::uint32_t attemptsLeft =
-        m_settings.idempotent ? m_settings.maxAttempts - m_attemptsWithoutResumes + 1 : 1;
+        m_settings.idempotent ? m_settings.mostAttempts - m_attemptsWithoutResumes + 1 : 1;
     running->timeoutAt = now + attemptTimeout(m_settings.deadline.remaining(now), attemptsLeft);
     if (m_settings.hedgeDelay) {
         running->hedgeAt = now + *m_settings.hedgeDelay;
--- a/src/policy/requestplansteps.cpp
+++ b/src/policy/requestplansteps.cpp
@@ -37,7 +37,7 @@
 // Enforces at-most-once execution: a non-idempotent request is started again only while outcome() is NotRun.
 bool RequestPlan::mayStartAgain(Instant now) const
 {
-    if (m_attemptsWithoutResumes >= m_settings.maxAttempts || m_requestBodyDiscarded
+    if (m_attemptsWithoutResumes >= m_settings.mostAttempts || m_requestBodyDiscarded
         || m_settings.deadline.passed(now)) {
         return false;
     }
@@ -48,7 +48,7 @@
 {
     const bool singlePending = m_phase == Phase::Waiting && m_running.size() == 1 && !m_retryAt;
     return singlePending && m_settings.idempotent && !m_hedgeRefused && !m_requestBodyDiscarded
-           && m_running.front().hedgeAt && m_attemptsWithoutResumes < m_settings.maxAttempts;
+           && m_running.front().hedgeAt && m_attemptsWithoutResumes < m_settings.mostAttempts;
 }
 
 bool RequestPlan::isMismatch(AttemptNumber attempt, const ResponseSummary &header) const
--- a/src/policy/requestplantest.cpp
+++ b/src/policy/requestplantest.cpp
@@ -398,7 +398,7 @@
 TEST(RequestPlan, shedRequestMovesToAnotherTargetAndRetryAfterIsForwarded)
 {
     RequestPlanSettings settings = settingsFor(false);
-    settings.maxAttempts = 2;
+    settings.mostAttempts = 2;
     RequestPlan plan(settings, alwaysSpend);
     plan.start();
     ResponseSummary shed;
