--- a/src/policy/bodyprogresstest.cpp
+++ b/src/policy/bodyprogresstest.cpp
@@ -26,9 +26,9 @@
 
 } // namespace
 
-TEST_GROUP(BodyResume) {};
+TEST_GROUP(BodyProgress) {};
 
-TEST(BodyResume, brokenDownloadAsksForExactlyTheMissingBytes)
+TEST(BodyProgress, brokenDownloadRequestsExactlyTheMissingBytes)
 {
     BodyProgress progress(fullHeader());
     progress.accept(400);
@@ -37,7 +37,7 @@
     CHECK_TRUE(progress.isContinuedBy(restFrom(400)));
 }
 
-TEST(BodyResume, brokenRangeRequestContinuesWithinItsOwnRange)
+TEST(BodyProgress, brokenRangeRequestContinuesWithinItsOwnRange)
 {
     BodyHeader header = restFrom(600);
     header.length = 100;
@@ -47,8 +47,8 @@
     STRCMP_EQUAL("bytes=630-699", progress.resumeRequest()->range.c_str());
 }
 
-// Failure: a symbol fullHeader holds the first half of one version and the second of another, or a gap.
-TEST(BodyResume, restThatIsNotProvenToFitIsRefused)
+// Guards against a downloaded file with parts of two versions, or with a gap, after a broken connection.
+TEST(BodyProgress, restThatIsNotProvenToMatchIsRejected)
 {
     BodyProgress progress(fullHeader());
     progress.accept(400);
@@ -66,7 +66,7 @@
     CHECK_FALSE(progress.isContinuedBy(other));
 }
 
-TEST(BodyResume, bodyWithoutStrongValidatorOrLengthIsNotResumed)
+TEST(BodyProgress, bodyWithoutStrongValidatorOrLengthIsNotResumed)
 {
     BodyHeader weak = fullHeader();
     weak.etag = "W/\"v1\"";
@@ -76,7 +76,7 @@
     CHECK_FALSE(BodyProgress(chunked).resumeRequest().has_value());
 }
 
-TEST(BodyResume, impossibleContentRangesAreRefused)
+TEST(BodyProgress, impossibleContentRangesAreRejected)
 {
     CHECK_TRUE(parseContentRange("bytes 0-0/1").has_value());
     for (const char *value :
--- a/src/policy/configtestdata.h
+++ b/src/policy/configtestdata.h
@@ -7,7 +7,7 @@
 
 #include "mulberryplank/policy/configtable.h"
 
-// Edits over a few items, so that random ones meet often.
+// Random edits of a small set of items, so that edits often concern the same item.
 namespace mulberryplank::testdata
 {
 
@@ -60,7 +60,7 @@
     return found ? found->version : 0;
 }
 
-// Draws numbers for one record from a single random number.
+// Derives several numbers from a single random number.
 class NumberSource
 {
 public:
@@ -96,7 +96,7 @@
     }
 }
 
-// Returns a change that mostly names the current version, and else a stale or made-up one.
+// Returns a change that is usually based on the current version, and otherwise on a stale or invented one.
 inline Change generateChange(NumberSource &source, const ConfigTable &table)
 {
     Change change { generateItem(source), false };
@@ -111,7 +111,7 @@
     return change;
 }
 
-// Returns a log of edits: most of them sound, some conflicting, repeated, invalid or damaged.
+// Returns a log of edits: most are valid, some are conflicting, repeated, invalid or unreadable.
 inline std::vector<std::string> generateLog()
 {
     const auto number = rc::gen::resize(rc::kNominalSize, rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U));
@@ -138,7 +138,7 @@
     return log;
 }
 
-// Applies the records from the table's next offset up to `end`.
+// Applies the records from the table's next offset to before `end`.
 inline void applyUpTo(ConfigTable &table, const std::vector<std::string> &log, Offset end)
 {
     while (table.nextOffset() < end) {
--- a/src/policy/forwardplan.cpp
+++ b/src/policy/forwardplan.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-// Attempts that certainly did not run, beyond the route's number: a full or vanished target costs little to find out
-// about, but each one costs the fleet's budget.
+// Maximum number of attempts that certainly did not run, in addition to the route's maximum. Detecting an overloaded or
+// stopped target is cheap, but each attempt uses the fleet's retry budget.
 constexpr std::uint32_t MaxRefusedAttempts = 3;
 
 ErrorKind notRunError(AttemptResult result)
--- a/src/policy/forwardplantest.cpp
+++ b/src/policy/forwardplantest.cpp
@@ -30,7 +30,7 @@
 
 TEST_GROUP(ForwardPlan) {};
 
-TEST(ForwardPlan, nonIdempotentRequestIsNotRetriedAfterAReset)
+TEST(ForwardPlan, nonIdempotentRequestIsNotSentAgainAfterAReset)
 {
     const HostRoute route = routeOf(RouteKind::NonIdempotent, 3);
     ForwardPlan plan(route, Deadline);
@@ -42,7 +42,7 @@
     CHECK_TRUE(plan.outcome() == Outcome::Unknown);
 }
 
-TEST(ForwardPlan, nonIdempotentRequestIsRetriedAfterARefusal)
+TEST(ForwardPlan, nonIdempotentRequestIsSentAgainAfterAShed)
 {
     const HostRoute route = routeOf(RouteKind::NonIdempotent, 2);
     ForwardPlan plan(route, Deadline);
@@ -61,14 +61,14 @@
     CHECK_TRUE(plan.finalError(true) == ErrorKind::DeadlineBeforeStart);
 }
 
-TEST(ForwardPlan, whateverAttemptsComeToNoPromiseIsBroken)
+TEST(ForwardPlan, guaranteesHoldForEveryOrderOfResults)
 {
-    CHECK_TRUE(rc::check("at most once, at most so often, truthful", [] {
+    CHECK_TRUE(rc::check("at most once, at most the allowed number of times, correct outcome", [] {
         const auto kind = *rc::gen::element(RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::LargeResponse);
         const HostRoute route = routeOf(kind, *rc::gen::inRange<std::uint32_t>(1, 4));
         ForwardPlan plan(route, Deadline);
         std::uint32_t mayHaveRun = 0;
-        std::vector<bool> running; // whether the attempt has sent
+        std::vector<bool> running; // whether the attempt has sent bytes
         for (int step = 0; step < 30; ++step) {
             if (*rc::gen::inRange(0, 2) == 0 && plan.mayStart(Start)) {
                 const bool sends = *rc::gen::arbitrary<bool>();
@@ -94,7 +94,7 @@
     }));
 }
 
-TEST(ForwardPlan, theNextAttemptIsTheLastWhenNoneMayRunBesides)
+TEST(ForwardPlan, nextAttemptIsLastWhenNoOtherMayFollow)
 {
     const HostRoute route = routeOf(RouteKind::Idempotent, 2);
     ForwardPlan plan(route, Deadline);
