--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -69,7 +69,7 @@
     for (const Member &member : all) {
         newest = std::max<std::uint64_t>(newest, member.applied);
     }
-    m_news->noteVersionElsewhere(newest);
+    m_news->noteRemoteVersion(newest);
     EntrySettings entries;
     entries.leastPerDomain = m_settings.entriesPerDomain;
     m_entries = entryMembers(all, entries);
@@ -215,7 +215,7 @@
 }
 
 // Tells the gateways of this failure domain, which have their lists from here.
-void GatewayProcess::tellNewsChanged(const NewsHint &hint)
+void GatewayProcess::tellNewsChanged(const UpdateHint &hint)
 {
     if (m_reader && m_reader->incarnation == m_incarnation) {
         tellNear(hint);
@@ -233,7 +233,7 @@
     return near;
 }
 
-void GatewayProcess::tellNear(const NewsHint &hint)
+void GatewayProcess::tellNear(const UpdateHint &hint)
 {
     if (!m_peers) {
         return;
@@ -244,7 +244,7 @@
     }
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::askReader(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryReader(PeerUpdateRequest request)
 {
     if (!anotherReads()) {
         co_return failure(ErrorKind::PeerLost, "no other gateway reads for this failure domain");
@@ -257,7 +257,7 @@
 }
 
 // Asks for the configuration at a gateway that callers are named, or every other time at any.
-asio::awaitable<Result<PeerNews>> GatewayProcess::askPeer(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryPeer(PeerUpdateRequest request)
 {
     if (request.wantsTargets) {
         co_return co_await askPeerForList(request);
@@ -271,21 +271,21 @@
     co_return co_await ask(*chosen, request, internal::PeerTimeout);
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::askPeerForList(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::askPeerForList(PeerUpdateRequest request)
 {
     const std::optional<Member> chosen =
         choosePeerForList(m_entries, members(), m_incarnation, m_peersWithoutList, Clock::now(), m_random);
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
     }
-    const Result<PeerNews> news = co_await ask(*chosen, request, internal::ListTimeout);
+    const Result<PeerUpdate> news = co_await ask(*chosen, request, internal::ListTimeout);
     if (news && !news->upToDate && !readsFirstList(*news)) {
         m_peersWithoutList.note(chosen->incarnation, Clock::now());
     }
     co_return news;
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::ask(Member peer, PeerNewsRequest request, Duration limit)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::ask(Member peer, PeerUpdateRequest request, Duration limit)
 {
     std::string payload = encode(request);
     const Result<std::string> answer =
@@ -295,7 +295,7 @@
         m_peersWithoutList.note(peer.incarnation, Clock::now());
         co_return tl::make_unexpected(answer.error());
     }
-    co_return decodePeerNews(*answer);
+    co_return decodePeerUpdate(*answer);
 }
 
 // Names the gateways of the caller's failure domain, or all that there are when it has none.
--- a/src/net/fakekeyedstore.h
+++ b/src/net/fakekeyedstore.h
@@ -32,8 +32,8 @@
         store.newest = [this](KeyedTopic topic) {
             return newest(topic);
         };
-        store.append = [this](KeyedTopic topic, std::vector<KeyedRecord> records, std::optional<Offset> onlyAt) {
-            return append(topic, std::move(records), onlyAt);
+        store.append = [this](KeyedTopic topic, std::vector<KeyedRecord> records, std::optional<Offset> expectedEnd) {
+            return append(topic, std::move(records), expectedEnd);
         };
         return store;
     }
@@ -67,7 +67,7 @@
 
 private:
     template<typename T>
-    using Answer = boost::asio::awaitable<Result<T>>;
+    using Response = boost::asio::awaitable<Result<T>>;
 
     bool fails(const std::string &name, KeyedTopic topic)
     {
@@ -93,7 +93,7 @@
         m_waiting.erase(&ended);
     }
 
-    Answer<KeyedPage> read(KeyedTopic topic, Offset from, Millis wait)
+    Response<KeyedPage> read(KeyedTopic topic, Offset from, Millis wait)
     {
         if (fails("read", topic)) {
             co_return unavailable();
@@ -105,17 +105,17 @@
             co_return unavailable();
         }
         KeyedPage page;
-        page.historyGone = from < m_first[topic];
-        page.next = page.historyGone ? 0 : from;
+        page.historyExpired = from < m_first[topic];
+        page.next = page.historyExpired ? 0 : from;
         const std::vector<KeyedRecord> &records = m_topics[topic];
-        for (Offset offset = from; !page.historyGone && offset < records.size(); ++offset) {
+        for (Offset offset = from; !page.historyExpired && offset < records.size(); ++offset) {
             page.records.push_back(records[offset]);
             ++page.next;
         }
         co_return page;
     }
 
-    Answer<KeyedSnapshot> newest(KeyedTopic topic)
+    Response<KeyedSnapshot> newest(KeyedTopic topic)
     {
         if (fails("newest", topic)) {
             co_return unavailable();
@@ -137,12 +137,12 @@
         co_return snapshot;
     }
 
-    Answer<void> append(KeyedTopic topic, std::vector<KeyedRecord> records, std::optional<Offset> onlyAt)
+    Response<void> append(KeyedTopic topic, std::vector<KeyedRecord> records, std::optional<Offset> expectedEnd)
     {
         if (fails("append", topic)) {
             co_return unavailable();
         }
-        if (onlyAt && *onlyAt != m_topics[topic].size()) {
+        if (expectedEnd && *expectedEnd != m_topics[topic].size()) {
             co_return failure(ErrorKind::Conflict, "another came first");
         }
         for (const KeyedRecord &record : records) {
--- a/src/net/gatewaytesthelp.h
+++ b/src/net/gatewaytesthelp.h
@@ -68,7 +68,7 @@
             routes = routesOnTheirWay;
             co_return;
         };
-        context.needTargets = []() -> DataAwaitable<bool> {
+        context.ensureTargets = []() -> DataAwaitable<bool> {
             co_return true;
         };
         m_server = std::make_unique<GatewayServer>(context, Endpoint { HostNumber, 0 });
--- a/src/state/configstatecommands.cpp
+++ b/src/state/configstatecommands.cpp
@@ -9,7 +9,7 @@
 {
 
 // Returns what keeps the news from following on what was applied; nothing when they follow.
-std::optional<Error> obstacleTo(const ConfigNews &news, const ConfigState::Position &position)
+std::optional<Error> obstacleTo(const ConfigUpdate &news, const ConfigState::Position &position)
 {
     const Offset end = news.from + news.records.size();
     if (news.from > position.applied) {
@@ -36,7 +36,7 @@
 {
 }
 
-Result<std::vector<EditOutcome>> ConfigState::learn(const ConfigNews &news)
+Result<std::vector<EditOutcome>> ConfigState::learn(const ConfigUpdate &news)
 {
     const std::unique_lock lock(m_tableMutex);
     const Position position { m_table.nextOffset(), m_table.lastRecordDigest() };
--- a/src/state/configstatetest.cpp
+++ b/src/state/configstatetest.cpp
@@ -53,7 +53,7 @@
         }
         return;
     }
-    ConfigNews news { position.applied, position.last, {} };
+    ConfigUpdate news { position.applied, position.last, {} };
     for (const LogRecord &record : judgement.news) {
         news.records.push_back(record.data);
     }
@@ -105,7 +105,7 @@
 {
     ConfigState m_state;
 
-    static ConfigNews newsOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
+    static ConfigUpdate newsOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
     {
         return { from, before, std::move(records) };
     }
