--- a/include/mulberryplank/net/asyncmutex.h
+++ b/include/mulberryplank/net/asyncmutex.h
@@ -8,8 +8,8 @@
 namespace mulberryplank
 {
 
-// Lets one coroutine at a time do something. Those that wait go on in no order. Belongs to the thread that runs the
-// io_context, which must outlive it.
+// A mutex for coroutines. Waiting coroutines acquire it in no particular order. Must be used on the thread that runs
+// the io_context, which must outlive it.
 class AsyncMutex
 {
 public:
@@ -17,17 +17,17 @@
     AsyncMutex(const AsyncMutex &) = delete;
     AsyncMutex &operator=(const AsyncMutex &) = delete;
 
-    // Waits until nobody has the turn, and takes it.
+    // Waits until the mutex is unlocked, and locks it.
     boost::asio::awaitable<void> lock();
 
-    // Gives the turn back. Whoever took it must call this once.
+    // Unlocks the mutex. Must be called exactly once after each lock().
     void unlock();
 
     bool isLocked() const;
 
 private:
     bool m_locked = false;
-    Timer m_unlockTimer; // cancelled with each unlock
+    Timer m_unlockTimer; // cancelled by each unlock()
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/clock.h
+++ b/include/mulberryplank/net/clock.h
@@ -8,8 +8,8 @@
 namespace mulberryplank
 {
 
-// The monotonic clock that all timers and waits go by. Tests pass the time themselves while a VirtualTime exists. The
-// standard library gives its members their names.
+// The monotonic clock that all timers and waits use. Tests set its time through a VirtualTime. The member names are
+// those that the standard library requires of a clock.
 class Clock
 {
 public:
@@ -22,8 +22,9 @@
     static Instant now();
 };
 
-// While one exists, Clock::now() on the thread that made it returns its time, which passes by advance() alone. At most
-// one exists on a thread. Whoever advances it polls the io_context then: a run that waits would wait in real time.
+// Replaces the time of Clock::now() on the thread that created it, as long as it exists. Its time passes by advance()
+// alone. At most one may exist on a thread. After advance(), poll the io_context rather than run it: a run that waits
+// would wait in real time.
 class VirtualTime
 {
 public:
@@ -34,19 +35,19 @@
 
     void advance(Duration span);
 
-    // Says whether one exists on this thread.
+    // Returns whether a VirtualTime exists on this thread.
     static bool isInUse();
 };
 
 } // namespace mulberryplank
 
-// Tells Asio's reactor how long to wait for a timer. Asio gives the functions their name.
+// Returns to Asio's reactor how long to wait for a timer. The function names are those that Asio requires.
 template<>
 struct boost::asio::wait_traits<mulberryplank::Clock> {
     // NOLINTNEXTLINE(readability-identifier-naming)
     static mulberryplank::Duration to_wait_duration(const mulberryplank::Duration &span)
     {
-        // The reactor looks at its timers only once it has waited for the first of them.
+        // The reactor checks its timers only after it has waited for the first of them, so that wait has to be zero.
         return mulberryplank::VirtualTime::isInUse() ? mulberryplank::Duration {} : span;
     }
 
--- a/include/mulberryplank/net/configmessages.h
+++ b/include/mulberryplank/net/configmessages.h
@@ -17,7 +17,7 @@
     archive(update.from, update.before, update.records);
 }
 
-// A datagram: how far its sender is, and some records, if they fit.
+// A datagram with the sender's position in the log and some records, if they fit.
 struct ConfigPush {
     Offset applied = 0;
     ConfigUpdate update;
@@ -29,7 +29,7 @@
     }
 };
 
-// A call: how far the caller is. The answer brings what it lacks.
+// A call with the caller's position in the log. The response contains what the caller lacks.
 struct ConfigPull {
     Offset applied = 0;
 
@@ -40,10 +40,11 @@
     }
 };
 
-// The answer: records that follow on the caller's, or a snapshot where they aren't kept any more, or neither.
+// The response to a ConfigPull: the records that follow the caller's position, or a snapshot if those records are no
+// longer kept, or neither.
 struct ConfigPullResponse {
     Offset applied = 0;
-    bool ready = false; // whether the one who answers has a configuration, if only an empty one
+    bool ready = false; // whether the responding proxy has a configuration, which may be empty
     ConfigUpdate update;
     std::string snapshot;
 
--- a/include/mulberryplank/net/dataexecutor.h
+++ b/include/mulberryplank/net/dataexecutor.h
@@ -13,8 +13,8 @@
 namespace mulberryplank
 {
 
-// Types of the data path. They name the io_context's own executor in place of Asio's type-erased one, which would cost
-// an allocation or an indirect call on every operation.
+// Types of the data path. They use the io_context's own executor instead of Asio's type-erased one, which would cost an
+// allocation or an indirect call on every operation.
 using DataExecutor = boost::asio::io_context::executor_type;
 using DataSocket = boost::asio::basic_stream_socket<boost::asio::ip::tcp, DataExecutor>;
 using DataTimer = boost::asio::basic_waitable_timer<Clock, boost::asio::wait_traits<Clock>, DataExecutor>;
--- a/include/mulberryplank/net/discoveryclient.h
+++ b/include/mulberryplank/net/discoveryclient.h
@@ -24,69 +24,71 @@
 {
 
 struct DiscoverySettings {
-    // How long a read waits for a new configuration. Each read is billed; a connection that goes silent meanwhile is
-    // noticed by its keepalive probes and by what other processes say they have.
+    // How long a read waits for a new configuration. Each read is billed. A connection that becomes unresponsive
+    // meanwhile is detected by its keepalive probes and by the versions that other processes report.
     Millis configurationWait { 25'000 };
-    // Between two questions for the configuration by a process that another one reads for, and that wasn't told of a
-    // new one meanwhile.
+    // Between two queries for the configuration by a process that has a designated reader and has received no hint of a
+    // new version.
     Duration configurationInterval = Seconds(10);
     Duration firstInterval = Seconds(1); // the same for a process that has no configuration yet
-    // Between two reads of the targets' records, while requests come. A target's leaving has to be known within two
-    // seconds, of which this leaves half for a read that fails and is made again.
+    // Between two reads of the targets' records while requests arrive. A target's leaving has to be known within two
+    // seconds; this leaves half of that for a read that fails and is repeated.
     Duration targetsInterval = Millis(800);
-    // A list that was read from the store longer ago is read anew before a request goes by it: what leaves must get no
-    // requests two seconds later.
+    // A list that was read from the store longer ago is read again before a request uses it: a target must get no
+    // requests two seconds after it left.
     Duration maxTargetsAge = Millis(1'700);
-    // The age at which a list that came by way of others is read again, if that is sooner than the next read would be.
-    // Two processes that give no answer may be asked until the two seconds are over.
+    // The age at which a list received from another process is read again, if that is sooner than the next regular
+    // read. Two unresponsive processes can be queried before the two seconds are over.
     Duration targetsRenewalAge = Millis(1'200);
-    // How long after the last request targets are still followed. Processes without requests cost no reads.
+    // How long targets are followed after the last request. A process without requests costs no reads.
     Duration targetsFollowedFor = Seconds(8);
-    Duration targetsWait = Millis(400); // that the first request after a pause waits for the list
-    Duration routesWait = Seconds(1); // from the start, that requests wait for the first configuration
-    // How often another process is asked for the list of targets that it is reading itself, and the pause in between.
+    Duration targetsWait = Millis(400); // how long the first request after an idle period waits for the list
+    Duration routesWait = Seconds(1); // how long after the start requests wait for the first configuration
+    // How often a process that is still reading its own first list is queried for it, and the interval in between.
     int listTries = 8;
     Duration listInterval = Millis(40);
-    Duration listTimeout = Millis(200); // after which somebody else is asked for the list as well
-    Duration retryInterval = Millis(250); // after a failed read, before anybody is asked again
-    StoreRetrySettings storeRetry; // how soon that is the store itself
-    Duration hintLifetime = Seconds(1); // after which a hint no longer explains that the store was found again
-    Duration returnGrace = Seconds(2); // within which live targets are listed again after the store's return
-    Duration catchUpDelay = Millis(150); // for a read under way to bring what another process has already
+    Duration listTimeout = Millis(200); // after which another process is queried as well
+    Duration retryInterval = Millis(250); // after a failed read, before any source is queried again
+    StoreRetrySettings storeRetry; // how soon that source may be the store itself
+    Duration hintLifetime = Seconds(1); // after which a hint no longer accounts for the store's recovery
+    Duration returnGrace = Seconds(2); // how long live targets have after the store's recovery to be listed again
+    Duration catchUpDelay = Millis(150); // for a read in progress to bring what another process has already
 };
 
-// What the update are used for, and where else they come from.
+// Uses of the updates and access to other processes.
 struct DiscoveryHooks {
-    std::string configurationKey; // of the configuration's record
+    std::string configurationKey; // key of the configuration's record
     std::function<Result<RouteTable>(std::string_view)> decodeRoutes;
     std::function<Result<AnnouncedTarget>(std::string_view id, std::string_view)> decodeTarget;
     std::function<void(RouteTablePtr)> routesChanged;
-    std::function<void(const TargetDirectory &, bool fresh)> targetsRead; // after each read
-    // Asks some other process for what it has; PeerLost when there is none or it doesn't answer.
+    std::function<void(const TargetDirectory &, bool fresh)> targetsRead; // called after each read
+    // Queries some other process. Errors: PeerLost when there is none or it doesn't respond.
     std::function<boost::asio::awaitable<Result<PeerUpdate>>(PeerUpdateRequest)> queryPeer;
-    // Asks the process that reads for the others of its failure domain; PeerLost when that is this one.
+    // Queries the designated reader of the failure domain. Errors: PeerLost when that is this process.
     std::function<boost::asio::awaitable<Result<PeerUpdate>>(PeerUpdateRequest)> queryReader;
-    // Says whether there is such a process, other than this one.
+    // Returns whether there is a designated reader other than this process.
     std::function<bool()> hasReader;
-    // Says whether this process reads the configuration from the store although another one reads the targets for it: a
-    // store that gives no answer to one of them tells the others through it.
+    // Returns whether this process reads the configuration from the store although another process reads the targets
+    // for it. When the store is unresponsive to one of the two, the other processes still get the configuration through
+    // the other one.
     std::function<bool()> readsConfiguration;
-    // Returns how many processes of this failure domain follow the store, this one among them.
+    // Returns how many processes of this failure domain follow the store, including this one.
     std::function<std::size_t()> followersInDomain;
-    // The list of targets has changed, as read from the store.
+    // Called when the list of targets, as read from the store, has changed.
     std::function<void()> listChanged;
-    // The store has stopped answering this process, or answers again. `firstToRecover`: it answers again, the reader
-    // isn't known to be served, and nobody has told this process, so that it may be the first to find out.
+    // Called when the store has stopped responding to this process or responds again. `firstToRecover` is true if it
+    // responds again, the reader isn't known to be served, and no hint has been received, so that this process may be
+    // the first to detect the recovery.
     std::function<void(bool firstToRecover)> storeChanged;
 };
 
-// Keeps up with the configuration and the targets: from the store, and from other processes where the store doesn't
-// answer this one. Nothing that it brings ever goes back: an older version, an older list or a stale read is dropped.
-// Everything belongs to the thread that runs the io_context, which must outlive it.
+// Fetches the configuration and the list of targets from the store, and from other processes where the store doesn't
+// respond to this one. Never regresses: an older version, an older list or a stale read is dropped. Must be used on the
+// thread that runs the io_context, which must outlive it.
 class DiscoveryClient
 {
 public:
-    // `self` is this process's incarnation, which marks its versions of the list.
+    // `self` is this process's incarnation, which identifies its versions of the list.
     DiscoveryClient(boost::asio::io_context &context,
                     KeyedStore store,
                     DiscoverySettings settings,
@@ -96,35 +98,36 @@
     DiscoveryClient(const DiscoveryClient &) = delete;
     DiscoveryClient &operator=(const DiscoveryClient &) = delete;
 
-    // Begins to follow the configuration and the targets. To be called once, when the others are known as far as they
-    // can be: a process that knows nobody reads everything from the store.
+    // Starts to follow the configuration and the targets. Must be called only once, when as many members as possible
+    // are known: a process that knows no other member reads everything from the store.
     void start();
 
     // Returns the configuration in force, or nullptr.
     RouteTablePtr routes() const;
 
-    // Waits until there are routes, for a moment after the start at most: a request that comes before them is then
-    // served, where its caller would otherwise have to come again, if it does.
+    // Waits until there are routes, but only for a short time after the start. A request that arrives before the first
+    // routes is then served; otherwise its caller would have to send it again, which not every caller does.
     DataAwaitable<void> awaitRoutes();
 
-    // Says that a request needs the targets now: they are followed from here on, and a list that is too old is read
+    // Called for a request that needs the targets. They are followed from then on, and a list that is too old is read
     // first. Returns false if there is no list at all.
     DataAwaitable<bool> ensureTargets();
 
-    // Another process has this version of the configuration. If this one lacks it, it asks: at once if another one
-    // reads for it, else after a moment.
+    // Called when another process has this version of the configuration. If this process lacks it, it queries for it:
+    // at once if it has a designated reader, else after a short delay.
     void noteRemoteVersion(std::uint64_t version);
 
-    // The process that reads for this one, or the first that was served by the store again, has update: this one asks
-    // for them at once. With the version of the configuration there it asks for that only if it is newer.
+    // Called when the designated reader, or the first process that the store serves again, has an update. This process
+    // queries for it at once. If `version` is given, it queries for the configuration only if that version is newer.
     void noteRemoteUpdate(std::uint64_t version = 0);
 
-    // Returns what this process has, for another that can't reach the store.
+    // Returns what this process has, for another one that doesn't read the store or can't reach it.
     PeerUpdate respondToPeer(const PeerUpdateRequest &request);
 
     const TargetDirectory &directory() const;
 
-    // Returns when the list of targets was read from the store, here or elsewhere, or nothing before it was.
+    // Returns when the list of targets was read from the store, by this process or another one, or nothing if there is
+    // none yet.
     std::optional<Instant> targetsReadAt() const;
     bool storeResponds() const;
 
@@ -140,7 +143,7 @@
     boost::asio::awaitable<Result<void>> readConfiguration();
     boost::asio::awaitable<void> awaitNewVersion();
     boost::asio::awaitable<Result<PeerUpdate>> fetchConfiguration(const Query &query, std::string_view source);
-    bool isBehind() const; // others have a version that is newer and isn't known to be unreadable
+    bool isBehind() const; // another process has a newer version that isn't known to be unreadable
     std::uint64_t versionInForce() const; // 0: none
     boost::asio::awaitable<Result<void>> readNewestConfiguration();
     boost::asio::awaitable<bool> renewTargets();
@@ -180,28 +183,28 @@
     EventSink m_events;
 
     RouteTablePtr m_routes;
-    ConfigurationOffer m_offer; // the configuration in force, as it stands in the store, for other processes
+    ConfigurationOffer m_offer; // the configuration in force as stored, for other processes
     Offset m_configurationNext = 0;
     const Instant m_createdAt = Clock::now();
-    bool m_configurationKnown = false; // m_configurationNext holds
+    bool m_configurationKnown = false; // whether m_configurationNext is valid
     std::uint64_t m_remoteVersion = 0;
-    std::uint64_t m_unreadableVersion = 0; // the newest that came from another process and can't be used here
+    std::uint64_t m_unreadableVersion = 0; // the newest one from another process that can't be used here
     bool m_catchingUp = false;
-    bool m_hinted = true; // to query for the configuration at once, whatever its version
+    bool m_hinted = true; // whether to query for the configuration at once, whatever its version
     ConfigurationTransfer m_transfer; // from other processes
-    bool m_readerLacksStore = false; // the store turned the reader away when it was asked last
+    bool m_readerLacksStore = false; // the reader reported that the store rejects it
 
     TargetDirectory m_directory;
     Offset m_targetsNext = 0;
     bool m_targetsKnown = false;
-    bool m_targetsChanged = false; // as another process says; what was read before is too old
-    bool m_readsTargets = false; // from the store, now
-    bool m_targetsUnavailable = false; // nobody gave a list when one was asked for last
-    Instant m_targetsReadAt {}; // from the store, here or elsewhere
-    std::uint64_t m_listOwner = 0; // who gave the list: this process or another
+    bool m_targetsChanged = false; // according to another process; what was read before is too old
+    bool m_readsTargets = false; // whether a read from the store is in progress
+    bool m_targetsUnavailable = false; // no source returned a list at the last attempt
+    Instant m_targetsReadAt {}; // from the store, by this process or another one
+    std::uint64_t m_listOwner = 0; // the process that provided the list, which may be this one
     std::uint64_t m_listVersion = 0;
-    std::string m_packedList; // for those who query for all of it
-    std::uint64_t m_packedVersion = 0; // as TargetDirectory::changes() counts
+    std::string m_packedList; // for processes that need all of it
+    std::uint64_t m_packedVersion = 0; // in terms of TargetDirectory::changes()
     std::uint64_t m_targetReads = 0;
     Instant m_lastNeededAt {};
     StoreRetry m_storeRetry;
--- a/include/mulberryplank/net/keyedstore.h
+++ b/include/mulberryplank/net/keyedstore.h
@@ -15,46 +15,46 @@
 namespace mulberryplank
 {
 
-// The lists of keyed records that the product reads or keeps in the platform's store.
+// The topics of keyed records in the platform's store that this program reads or writes.
 enum class KeyedTopic : std::uint8_t {
     Configuration, // written by operators: the newest configuration
-    Targets, // written by targets: what each says of itself
-    Fleet, // written by this product's processes: how they find and trust each other
+    Targets, // written by targets: each announces its own state
+    Fleet, // written by this program's processes: how they find and authenticate each other
 };
 
 std::string_view toString(KeyedTopic topic);
 
-// One record: the newest value of its key, or the key's removal.
+// The newest value of a key, or the key's removal.
 struct KeyedRecord {
     std::string key;
-    std::optional<std::string> value; // nothing: the key was removed
+    std::optional<std::string> value; // empty: the key was removed
 };
 
 // Records in the order in which they were written.
 struct KeyedPage {
     std::vector<KeyedRecord> records;
-    Offset next = 0; // of the first record that isn't among them
-    std::size_t unreadable = 0; // records left out because they bear no key that can be read
-    bool historyExpired = false; // the records asked for are no longer kept: only newest() tells the state
+    Offset next = 0; // of the first record that isn't included
+    std::size_t unreadable = 0; // records left out because they have no readable key
+    bool historyExpired = false; // the requested records are no longer kept; newest() has to be called instead
 };
 
 // The newest record of every key, as of `next` or later.
 struct KeyedSnapshot {
     std::vector<KeyedRecord> records; // all with values
-    Offset next = 0; // read() from here
+    Offset next = 0; // the offset from which to continue with read()
     std::size_t unreadable = 0; // as in KeyedPage
 };
 
-// Access to the platform's store. Errors of all calls: PlatformUnavailable when the store refused or gave no answer;
-// Conflict from append() when the topic has grown beyond `expectedEnd`.
+// Access to the platform's store. Errors of all calls: PlatformUnavailable when the store rejected the call or didn't
+// respond. Conflict from append() when the topic has grown beyond `expectedEnd`.
 struct KeyedStore {
     template<typename T>
     using Response = boost::asio::awaitable<Result<T>>;
 
-    // Returns the records from `from` on; waits up to `wait` for one when there is none.
+    // Returns the records from `from` on. Waits up to `wait` for one when there is none.
     std::function<Response<KeyedPage>(KeyedTopic, Offset from, Millis wait)> read;
     std::function<Response<KeyedSnapshot>(KeyedTopic)> newest;
-    // Appends records of the product's own, all or none; only where the topic ends if `expectedEnd` is given. After
+    // Appends all of the records or none. With `expectedEnd`, appends only if the topic ends there. After
     // PlatformUnavailable they may or may not have been appended.
     std::function<Response<void>(KeyedTopic, std::vector<KeyedRecord>, std::optional<Offset> expectedEnd)> append;
 };
--- a/include/mulberryplank/net/logclient.h
+++ b/include/mulberryplank/net/logclient.h
@@ -14,8 +14,8 @@
 namespace mulberryplank
 {
 
-// The platform's log service, as docs/PLATFORM.md describes it. One client may be used by several coroutines of the
-// same io_context.
+// A client of the platform's log service, which docs/PLATFORM.md describes. One client may be used by several
+// coroutines of the same io_context.
 class LogClient
 {
 public:
@@ -24,12 +24,12 @@
     LogClient(const LogClient &) = delete;
     LogClient &operator=(const LogClient &) = delete;
 
-    // Returns the records of `stream` from offset `from` on, at maxRecords `maxRecords`. Waits up to `wait` for a
-    // record to arrive when there is none. Errors: PlatformUnavailable.
+    // Returns up to `maxRecords` records of `stream`, from offset `from` on. Waits up to `wait` for a record when there
+    // is none. Errors: PlatformUnavailable.
     boost::asio::awaitable<Result<LogPage>> read(std::string stream, Offset from, std::size_t maxRecords, Millis wait);
 
-    // Appends a record and returns its offset. After PlatformUnavailable the record may or may not have been appended:
-    // only reading it back tells.
+    // Appends a record and returns its offset. After PlatformUnavailable the record may or may not have been appended;
+    // only reading it back shows which.
     boost::asio::awaitable<Result<Offset>> append(std::string stream, std::string record);
 
 private:
@@ -46,7 +46,7 @@
     std::vector<std::unique_ptr<Connection>> m_idle;
 };
 
-// The streams that the product uses.
+// The log streams in use.
 inline constexpr const char *ConfigStream = "config";
 inline constexpr const char *SnapshotStream = "snapshots";
 
--- a/include/mulberryplank/net/seedpublisher.h
+++ b/include/mulberryplank/net/seedpublisher.h
@@ -13,25 +13,25 @@
 {
 
 struct SeedPublisherSettings {
-    // So many processes of each failure domain are named in the store. A newcomer finds nobody only if all of them are
-    // gone at once; it is then found by those that take their places.
+    // The number of processes of each failure domain that are registered in the store. A new process finds no other one
+    // only if all of them have stopped at once; the processes that replace them then find it.
     std::size_t seedsPerDomain = 3;
-    Duration interval = Seconds(1); // between two looks at the members
-    Duration settleTime = Seconds(4); // from the start until most members are known, before which nobody names itself
-    Duration isolationTimeout =
-        Seconds(2); // that nobody else is known, before the seeds are read again; doubles each time
+    Duration interval = Seconds(1); // between two checks of the members
+    // After the start, until enough members are discovered for a process to register itself.
+    Duration settleTime = Seconds(4);
+    Duration isolationTimeout = Seconds(2); // without other members, before the seeds are read again; doubles each time
     Duration maxIsolationTimeout = Seconds(30);
 };
 
 struct SeedPublisherHooks {
-    std::function<std::vector<Member>()> members; // as this process knows them
-    std::function<void(const std::vector<FleetSeed> &)> seedsFound; // the store names these now
+    std::function<std::vector<Member>()> members; // returns the members that this process knows
+    std::function<void(const std::vector<FleetSeed> &)> seedsFound; // called with the seeds that the store lists
 };
 
-// Keeps some strong processes of each failure domain named in the store, for newcomers to find the fleet by. If every
-// process named itself, a start would read a list that grows with the fleet, and write to it, while all others do the
-// same. A process that knows nobody else looks for newer names there. Everything belongs to the thread that runs the
-// io_context, which must outlive it.
+// Keeps some processes of high capacity of each failure domain registered as seeds in the store, through which new
+// processes find the fleet. If every process registered itself, each start would read a list that grows with the fleet,
+// and write to it while all others do the same. A process that knows no other member reads the seeds again. Must be
+// used on the thread that runs the io_context, which must outlive it.
 class SeedPublisher
 {
 public:
@@ -45,7 +45,7 @@
     SeedPublisher(const SeedPublisher &) = delete;
     SeedPublisher &operator=(const SeedPublisher &) = delete;
 
-    // Begins, with the seeds that the store named at the start. To be called once.
+    // Starts it, with the seeds that the store listed at the start of the process. Must be called only once.
     void start(std::vector<FleetSeed> seeds);
 
 private:
@@ -64,10 +64,10 @@
     const SeedPublisherSettings m_settings;
     const SeedPublisherHooks m_hooks;
     EventSink m_events;
-    std::vector<FleetSeed> m_seeds; // as the store named them last
-    bool m_registered = false; // this process is among them
+    std::vector<FleetSeed> m_seeds; // as last read from the store
+    bool m_registered = false; // whether this process is one of them
     Instant m_mayRegisterAt {};
-    Instant m_retryAt {}; // after a call that failed
+    Instant m_retryAt {}; // after a failed registration
     Instant m_nextSearch {};
     Duration m_searchInterval;
 };
--- a/include/mulberryplank/net/signal.h
+++ b/include/mulberryplank/net/signal.h
@@ -7,7 +7,7 @@
 namespace mulberryplank
 {
 
-// Wakes one coroutine of the same thread. A signal set before the wait is not lost.
+// Wakes one coroutine of the same thread. A signal that is set before the wait isn't lost.
 class Signal
 {
 public:
--- a/include/mulberryplank/net/sleep.h
+++ b/include/mulberryplank/net/sleep.h
@@ -8,7 +8,7 @@
 namespace mulberryplank
 {
 
-// Ends after `span`. The io_context must outlive it.
+// Completes after `span`. The io_context must outlive it.
 boost::asio::awaitable<void> sleepFor(boost::asio::io_context &context, Duration span);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/staggered.h
+++ b/include/mulberryplank/net/staggered.h
@@ -11,12 +11,12 @@
 namespace mulberryplank
 {
 
-// One way to reach an aim; returns whether it did.
+// One of several ways to perform a task. Returns whether it succeeded.
 using StaggeredStep = std::function<boost::asio::awaitable<bool>()>;
 
-// Begins the steps in their order: the next one as soon as the one before has failed, or hasn't ended after `timeout`.
-// Returns true as soon as one of them has reached the aim, false once all have failed. Steps that are still under way
-// then go on by themselves, so what they refer to must outlive them. The io_context must outlive all of it.
+// Starts the steps in order, each one when the previous one has failed or hasn't completed within `timeout`. Returns
+// true as soon as one has succeeded, and false once all have failed. Steps that are still in progress then continue on
+// their own, so whatever they refer to must outlive them. The io_context must outlive all of them.
 boost::asio::awaitable<bool> runStaggered(boost::asio::io_context &context,
                                           std::vector<StaggeredStep> steps,
                                           Duration timeout);
--- a/include/mulberryplank/net/updatemessages.h
+++ b/include/mulberryplank/net/updatemessages.h
@@ -13,63 +13,64 @@
 namespace mulberryplank
 {
 
-// What a process that doesn't read the store itself, or can't reach it, asks another for.
+// A query by a process that doesn't read the store itself or can't reach it. Fields describe the querying process.
 struct PeerUpdateRequest {
-    std::uint64_t version = 0; // of the configuration that it has
-    bool wantsConfiguration = false; // a piece of one that is newer
-    std::uint64_t base = 0; // digest of the configuration that it has
-    PiecePosition next; // where the transfer that it has begun goes on
+    std::uint64_t version = 0; // of the configuration in force
+    bool wantsConfiguration = false; // a piece of a newer one
+    std::uint64_t base = 0; // digest of the configuration in force
+    PiecePosition next; // where the current transfer continues
     bool wantsTargets = false;
-    std::uint64_t listOwner = 0; // the incarnation that gave it its list of targets
-    std::uint64_t listVersion = 0; // of that list, as its owner counts
-    Offset targetsNext = 0; // how far its list goes
+    std::uint64_t listOwner = 0; // the incarnation that provided its list of targets
+    std::uint64_t listVersion = 0; // of that list, as counted by its owner
+    Offset targetsNext = 0; // the offset up to which its list was read
 };
 
-// The answer.
+// The response to a PeerUpdateRequest. Fields describe the responding process.
 struct PeerUpdate {
-    std::uint64_t version = 0; // of the configuration in force there; 0: none
-    ConfigurationPiece configuration; // of its bytes as they stand in the store, packed
-    bool storeResponds = true; // the one who is asked is served by the store, and will have what is new
-    bool hasTargets = false; // its list is told, being up to date or further on than the one of who asks
-    bool upToDate = false; // the list that is told
+    std::uint64_t version = 0; // of the configuration in force; 0: none
+    ConfigurationPiece configuration; // of its packed bytes, as stored
+    bool storeResponds = true; // the store serves the responding process, which will get new records
+    bool hasTargets = false; // a list is included: it is up to date, or further on than the requester's
+    bool upToDate = false; // whether that list is up to date
     std::int64_t ageMillis = 0; // since that list was read from the store
-    Offset targetsNext = 0; // how far it goes
+    Offset targetsNext = 0; // the offset up to which it was read
     std::uint64_t listOwner = 0;
     std::uint64_t listVersion = 0;
-    bool unchanged = false; // the list is the one that was asked with, and isn't sent again
-    // What differs from the list that was asked with, or else the whole list, which packTargets() has made small.
+    bool unchanged = false; // the requester has this list already, so it isn't sent again
+    // The difference from the requester's list, or else the whole list, compressed by packTargets().
     std::vector<AnnouncedTarget> changed;
     std::vector<TargetName> removed;
-    std::string packedTargets; // empty: only what differs is told
+    std::string packedTargets; // empty: only the difference is sent
 };
 
-// Says whether the process that gave this answer has had no list of targets so far, and reads one from the store now.
+// Returns whether the responding process has had no list of targets so far and is reading one from the store.
 bool readsFirstList(const PeerUpdate &update);
 
-// Tells others that a process has update.
+// A hint to other processes that the sender has an update.
 struct UpdateHint {
-    std::uint64_t version = 0; // of the configuration in force there; 0: none, or the update are of something else
+    std::uint64_t version = 0; // of the configuration in force there; 0: none, or the update is of something else
 };
 
-// Stands for a target among processes that know the same ones: a hash of its name. Reports are sent by the hundred each
-// second, and names are most of what they hold: between failure domains their bytes are billed.
+// A hash of a target's name, which identifies it among processes that know the same targets. Hundreds of reports are
+// sent each second, names would be most of their size, and bytes between failure domains are billed.
 using TargetKey = std::uint64_t;
 
 TargetKey targetKey(const TargetName &target);
 
-// What a process tells the others of an attempt, or of the latest attempts at a target.
+// What a process reports to others about an attempt, or about the latest attempts at a target.
 struct AttemptReport {
     TargetKey target = 0;
-    AttemptResult result = AttemptResult::Reset; // Cancelled: it has begun, or was ended by us; Timeout: or is silent
-    float logRatio = 0; // of what the odds of the target's sickness were multiplied by for it
-    std::uint16_t ageMillis = 0; // since the target was sent a request last
+    // Cancelled: the attempt has started, or this process ended it; Timeout: it failed or has had no response so far.
+    AttemptResult result = AttemptResult::Reset;
+    float logRatio = 0; // log of the factor by which it changed the odds that the target is faulty
+    std::uint16_t ageMillis = 0; // since the latest request to the target
 };
 
-// Returns the report of an attempt at a target that was sent a request last so long ago. Ages beyond what the report
-// holds, about a minute, are told as that.
+// Returns the report of an attempt at a target whose latest request is `age` ago. The age is limited to what the report
+// holds, about a minute.
 AttemptReport attemptReport(const TargetName &target, AttemptResult result, double logRatio, Duration age);
 
-// Packs a list of targets, and unpacks it. Errors: BadConfiguration, BadRequest.
+// Compress and decompress a list of targets. Errors: BadConfiguration, BadRequest.
 std::string packTargets(const std::vector<AnnouncedTarget> &targets);
 Result<std::vector<AnnouncedTarget>> unpackTargets(std::string_view packed);
 
@@ -78,7 +79,7 @@
 std::string encode(const UpdateHint &hint);
 std::string encode(const std::vector<AttemptReport> &reports);
 
-// Decode verified bytes. Errors: BadRequest.
+// Decode authenticated bytes. Errors: BadRequest.
 Result<PeerUpdateRequest> decodePeerUpdateRequest(std::string_view bytes);
 Result<PeerUpdate> decodePeerUpdate(std::string_view bytes);
 Result<UpdateHint> decodeUpdateHint(std::string_view bytes);
--- a/include/mulberryplank/net/vmlistclient.h
+++ b/include/mulberryplank/net/vmlistclient.h
@@ -14,14 +14,14 @@
 namespace mulberryplank
 {
 
-// What the platform's VM list says of one VM. The list lags.
+// An item of the platform's VM list, which lags behind the VMs' actual state.
 struct ListedVm {
     VmName vm;
     std::string address;
     bool leaving = false;
 };
 
-// The platform's VM list, as docs/PLATFORM.md describes it.
+// A client of the platform's VM list, which docs/PLATFORM.md describes.
 class VmListClient
 {
 public:
--- a/include/mulberryplank/net/worker.h
+++ b/include/mulberryplank/net/worker.h
@@ -9,8 +9,8 @@
 namespace mulberryplank
 {
 
-// What one thread of the data path owns. Caller and target connections never leave their worker, so that none of this
-// needs a lock.
+// The state of one data path thread. Caller and target connections never leave their worker, so none of this needs a
+// lock.
 class Worker
 {
 public:
@@ -18,13 +18,13 @@
     Worker(const Worker &) = delete;
     Worker &operator=(const Worker &) = delete;
 
-    // Runs until stop(). To be called by one thread.
+    // Runs until stop(). Must be called by one thread.
     void run();
 
-    // Ends run(). May be called from any thread.
+    // Ends run(). Thread-safe.
     void stop();
 
-    TimerWheel wheel; // before the context, whose end destroys coroutines that still hold timers of the wheel
+    TimerWheel wheel; // before the context, whose destructor destroys coroutines that still hold timers of the wheel
     boost::asio::io_context context { 1 };
     TargetPool pool;
 
--- a/src/net/asyncmutextest.cpp
+++ b/src/net/asyncmutextest.cpp
@@ -11,7 +11,7 @@
 
 TEST_GROUP(AsyncMutex)
 {
-    // Counts in `acquired` when the mutex has been acquired.
+    // Locks the mutex in a new coroutine, which then increments `acquired`.
     void lock(int &acquired)
     {
         const std::function<boost::asio::awaitable<void>()> wait = [this, &acquired]() -> boost::asio::awaitable<void> {
--- a/src/net/configsync.cpp
+++ b/src/net/configsync.cpp
@@ -19,8 +19,8 @@
 {
 
 constexpr Duration BehindLimit = Seconds(3);
-constexpr Duration PollerCheckInterval = Millis(500); // how soon a change of the pollers is noticed
-constexpr Duration MinPollInterval = Millis(10); // between two reads, should the log answer without waiting
+constexpr Duration PollerCheckInterval = Millis(500); // delay until a change of the pollers is noticed
+constexpr Duration MinPollInterval = Millis(10); // between two reads, in case the log responds without waiting
 constexpr Duration FirstBackoff = Millis(250);
 constexpr Duration MaxBackoff = Seconds(4);
 
@@ -115,7 +115,7 @@
 
 asio::awaitable<void> ConfigSync::repeat(Duration interval, Step step)
 {
-    // Proxies that start at the same time would otherwise act in step for good.
+    // Without jitter, proxies that start at the same time would act in lockstep for good.
     std::uniform_real_distribution<double> jitter(0.9, 1.1);
     while (m_running) {
         co_await step();
@@ -150,7 +150,7 @@
     if (pollerRank(m_settings.self, m_members(), m_settings.pollersPerDomain)) {
         return true;
     }
-    // Peers may all be cut off from here, or from the log, while this proxy is not.
+    // All peers may be disconnected from this proxy, or from the log, while this proxy can reach the log.
     const Instant now = m_clock();
     const bool peersUnresponsive = !m_lastCurrentPeerAt || now - *m_lastCurrentPeerAt > m_settings.peerTimeout;
     return peersUnresponsive || (m_behindSince && now - *m_behindSince > internal::BehindLimit);
@@ -168,7 +168,7 @@
         return loaded;
     }
     m_events(Event::SnapshotLoaded, { { "source", std::string("operator") }, { "offset", m_state.applied() } });
-    markInForce("a snapshot that the operator handed in");
+    markInForce("loaded from a snapshot of the operator");
     return {};
 }
 
@@ -191,7 +191,7 @@
     return status;
 }
 
-bool ConfigSync::learn(const ConfigUpdate &update, std::string_view source)
+bool ConfigSync::applyUpdate(const ConfigUpdate &update, std::string_view source)
 {
     const Offset before = m_state.applied();
     const auto outcomes = m_state.learn(update);
@@ -211,7 +211,7 @@
     return true;
 }
 
-// Reported once, not with every page and message that shows it again.
+// Reports a given detail only once, not with every page and message that shows it again.
 void ConfigSync::reportDifferentLog(const std::string &detail)
 {
     if (m_detail != detail) {
@@ -261,7 +261,7 @@
         m_behindReported = false;
         noteNewest(m_newest);
     }
-    // A part of the history would be an old table: rows that were removed since would serve again.
+    // With only a part of the history the table would be outdated: rows that were removed later would be in use again.
     if (m_firstLogEnd && applied >= *m_firstLogEnd && applied > 0) {
         markInForce("");
     }
--- a/src/net/configsynclog.cpp
+++ b/src/net/configsynclog.cpp
@@ -1,4 +1,4 @@
-// The side of ConfigSync that reads and writes the platform's log.
+// The part of ConfigSync that reads and writes the platform's log.
 #include <boost/asio/use_awaitable.hpp>
 
 #include "mulberryplank/net/configsync.h"
@@ -13,7 +13,7 @@
 namespace internal
 {
 
-// Records of the snapshot stream are large; this many are read at once.
+// The number of records that one read returns. Records of the snapshot stream are large.
 constexpr std::size_t SnapshotPageRecords = 8;
 
 tl::unexpected<Error> outcomeUnknown(const Edit &edit, const std::string &reason)
@@ -81,7 +81,7 @@
     co_return finding &&*finding == LogFinding::Current;
 }
 
-// Reads page by page until nothing is new. Where records have expired, a snapshot comes first.
+// Reads page by page until nothing is new. Where records have expired, loads a snapshot first.
 asio::awaitable<Result<LogFinding>> ConfigSync::catchUp()
 {
     while (true) {
@@ -120,14 +120,14 @@
     }
     applyUpdate(update, "log");
     noteProgress();
-    // An empty log is an empty table only if nobody knows of a fuller one.
+    // An empty log means an empty table only if no other proxy is known to have more.
     if (m_newest == 0 && m_snapshotTried && (m_peersTried || peers().empty())) {
         markInForce("the log is empty");
     }
     co_return judgement.finding;
 }
 
-// Returns the last records of the snapshot stream, at maxRecords `maxRecords`.
+// Returns the last records of the snapshot stream, up to `maxRecords`.
 asio::awaitable<Result<LogPage>> ConfigSync::newestSnapshotRecords(std::size_t maxRecords)
 {
     auto extent = co_await m_log.read(SnapshotStream, 0, 1, Millis(0));
@@ -251,7 +251,7 @@
     const Instant deadline = m_clock() + timeout;
     std::string reason;
     while (m_clock() < deadline) {
-        // It may have been appended before, through another proxy or by an append whose answer was lost.
+        // The edit may have been appended before: through another proxy, or by an append whose response was lost.
         co_await catchUp();
         if (auto outcome = m_state.outcomeOf(edit.id)) {
             co_return *outcome;
--- a/src/net/configsyncpeers.cpp
+++ b/src/net/configsyncpeers.cpp
@@ -1,4 +1,4 @@
-// The side of ConfigSync that talks to other proxies.
+// The part of ConfigSync that communicates with other proxies.
 #include <boost/asio/use_awaitable.hpp>
 
 #include "mulberryplank/net/cerealcodec.h"
@@ -41,8 +41,8 @@
     return others;
 }
 
-// Returns a random peer that has applied at minApplied `minApplied` as far as is known, or any, or nothing when there
-// are none.
+// Returns a random peer that is known to have applied `minApplied` or more. If none has, returns any peer, or nothing
+// when there are no peers.
 std::optional<Member> ConfigSync::randomPeer(Offset minApplied)
 {
     const std::vector<Member> all = peers();
@@ -69,8 +69,8 @@
     }
 }
 
-// Sends the records from `from` on, as far as they fit in one datagram. A peer that gets fewer than it lacks sees how
-// far this proxy is, and pulls.
+// Sends the records from `from` on, as far as they fit in one datagram. A peer that still lacks some sees this proxy's
+// position, and pulls.
 void ConfigSync::pushTo(const Endpoint &peer, Offset from)
 {
     ConfigPush push { m_state.applied(), {} };
@@ -129,7 +129,7 @@
     if (push->applied > m_state.applied()) {
         spawn(pullFrom(endpointOf(sender)));
     } else if (push->applied < before) {
-        // The sender may hear datagrams although its calls don't get through.
+        // The sender may receive datagrams although its calls fail.
         pushTo(endpointOf(sender), push->applied);
     }
 }
@@ -166,12 +166,12 @@
 
 asio::awaitable<void> ConfigSync::pullFrom(Endpoint peer)
 {
-    if (m_repairing) {
+    if (m_pulling) {
         co_return;
     }
-    m_repairing = true;
+    m_pulling = true;
     const auto payload = co_await m_peers.pull(peer, cerealEncode(ConfigPull { m_state.applied() }));
-    m_repairing = false;
+    m_pulling = false;
     m_peersTried = true;
     const auto response = payload ? cerealDecode<ConfigPullResponse>(*payload) : tl::make_unexpected(payload.error());
     if (!response || !response->ready) {
@@ -194,7 +194,7 @@
         markInForce("");
     }
     if (response->applied == 0 && m_newest == 0) {
-        markInForce("empty, as at " + toString(peer));
+        markInForce("empty, as reported by " + toString(peer));
     }
 }
 
--- a/src/net/configsynctest.cpp
+++ b/src/net/configsynctest.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-// Answers at once from memory.
+// A log stream in memory that responds at once.
 struct FakeStream {
     std::vector<std::string> records;
     Offset first = 0;
@@ -30,7 +30,7 @@
     std::map<std::string, FakeStream> streams;
     bool down = false;
     int readsUntilDown = -1; // negative: never
-    int lostResponses = 0; // how many appends take effect without an answer
+    int lostResponses = 0; // how many appends take effect without a response
 
     LogPage page(const std::string &name, Offset from, std::size_t maxRecords)
     {
@@ -43,28 +43,27 @@
         return result;
     }
 
-    LogAccess access(const bool &isCut)
+    LogAccess access(const bool &cut)
     {
         LogAccess log;
-        log.read = [this, &isCut](std::string name,
-                                  Offset from,
-                                  std::size_t maxRecords,
-                                  Millis) -> asio::awaitable<Result<LogPage>> {
+        log.read =
+            [this,
+             &cut](std::string name, Offset from, std::size_t maxRecords, Millis) -> asio::awaitable<Result<LogPage>> {
             down = down || readsUntilDown == 0;
-            if (down || isCut) {
-                co_return failure(ErrorKind::PlatformUnavailable, "away");
+            if (down || cut) {
+                co_return failure(ErrorKind::PlatformUnavailable, "outage");
             }
             --readsUntilDown;
             co_return page(name, from, maxRecords);
         };
-        log.append = [this, &isCut](std::string name, std::string record) -> asio::awaitable<Result<Offset>> {
-            if (down || isCut) {
-                co_return failure(ErrorKind::PlatformUnavailable, "away");
+        log.append = [this, &cut](std::string name, std::string record) -> asio::awaitable<Result<Offset>> {
+            if (down || cut) {
+                co_return failure(ErrorKind::PlatformUnavailable, "outage");
             }
             streams[name].records.push_back(std::move(record));
             if (lostResponses > 0) {
                 --lostResponses;
-                co_return failure(ErrorKind::PlatformUnavailable, "no answer");
+                co_return failure(ErrorKind::PlatformUnavailable, "no response");
             }
             co_return streams[name].records.size() - 1;
         };
@@ -72,7 +71,7 @@
     }
 };
 
-// A few proxies in one thread, whose links and clock the test controls.
+// A few proxies in one thread. The test controls their links and their clock.
 class FakeFleet
 {
 public:
@@ -80,7 +79,7 @@
         std::unique_ptr<ConfigState> state;
         std::unique_ptr<ConfigSync> sync;
         bool cutFromLog = false;
-        bool isolated = false; // datagrams and calls from others are lost
+        bool isolated = false; // datagrams and calls between this proxy and others are lost
     };
 
     explicit FakeFleet(std::size_t size)
@@ -110,7 +109,7 @@
         };
         peers.pull = [this, index](Endpoint to, std::string payload) -> asio::awaitable<Result<std::string>> {
             if (m_proxies[to.port].isolated || m_proxies[index].isolated) {
-                co_return failure(ErrorKind::ConnectFailed, "cut");
+                co_return failure(ErrorKind::ConnectFailed, "disconnected");
             }
             co_return m_proxies[to.port].sync->onPull({ nameOf(index), 1, {} }, payload);
         };
@@ -131,7 +130,7 @@
             });
     }
 
-    // Runs a coroutine, and whatever it starts, to its end.
+    // Runs a coroutine and everything it starts to its end.
     template<typename T>
     T run(asio::awaitable<T> task)
     {
@@ -151,7 +150,7 @@
         context.run();
     }
 
-    // Passes on the datagrams under way, but for those that `lose` picks.
+    // Delivers the datagrams in transit except those for which `lose` returns true.
     void deliver(const std::function<bool()> &lose = [] {
         return false;
     })
@@ -178,7 +177,7 @@
         run(sync.maintainSnapshots());
     }
 
-    // Lets every proxy act and hear a few times.
+    // Lets every proxy run its steps and receive messages in each round.
     void runRounds(int rounds = 12)
     {
         for (int round = 0; round < rounds; ++round) {
@@ -300,7 +299,7 @@
                 fleet.restart(index);
                 restarted = true;
                 break;
-            case 5: { // records expire, but for those that no snapshot holds yet
+            case 5: { // records expire, except those that no snapshot contains yet
                 SnapshotAssembler assembler;
                 for (const std::string &record : fleet.platform.streams[SnapshotStream].records) {
                     assembler.add(record);
@@ -347,9 +346,8 @@
     }));
 }
 
-// The platform's answer to an append is lost after the write took effect.
-// A command that gives up would call an edit unknown that is in force; one that appends a new edit would apply it
-// twice.
+// The response to an append is lost after the append took effect. A command that gives up would report an edit as
+// unknown that is in force. One that appends a new edit would apply it twice.
 TEST(ConfigSync, submitReturnsTheOutcomeWhenTheAppendResponseIsLost)
 {
     m_fleet.runRounds(2);
@@ -360,7 +358,7 @@
     LONGS_EQUAL(1, m_fleet.platform.streams[ConfigStream].records.size());
 }
 
-// An operator edits while the log is away, and again with the same id once it is back, at another proxy.
+// An operator submits an edit during a log outage, and repeats it with the same id at another proxy after the outage.
 TEST(ConfigSync, editDuringAnOutageIsNotAcceptedAndSafeToRepeat)
 {
     m_fleet.runRounds(2);
@@ -375,16 +373,16 @@
     checkAllApplied(1);
 }
 
-// One proxy is isCut off from the log, another hears no peer, whichever of them it is that reads the log for the
-// others.
+// One proxy is disconnected from the log and another one from all peers, for each choice of the two, so that they
+// include the proxies that read the log for the others.
 TEST(ConfigSync, proxyCutFromTheLogOrFromPeersStillReceivesEdits)
 {
-    for (std::size_t isCut = 0; isCut < 4; ++isCut) {
+    for (std::size_t cut = 0; cut < 4; ++cut) {
         FakeFleet fleet(4);
         fleet.runRounds(2);
-        fleet.at(isCut).cutFromLog = true;
-        fleet.at((isCut + 1) % 4).isolated = true;
-        const auto outcome = fleet.run(fleet.at((isCut + 2) % 4).sync->submit(accountEdit("a"), Seconds(2)));
+        fleet.at(cut).cutFromLog = true;
+        fleet.at((cut + 1) % 4).isolated = true;
+        const auto outcome = fleet.run(fleet.at((cut + 2) % 4).sync->submit(accountEdit("a"), Seconds(2)));
         CHECK_TRUE(outcome->status == EditStatus::Accepted);
         fleet.runRounds();
         for (std::size_t index = 0; index < 4; ++index) {
@@ -403,7 +401,7 @@
     LONGS_EQUAL(2, readers);
 }
 
-// One in three VMs is replaced while the log is away.
+// One in three VMs is replaced during a log outage.
 TEST(ConfigSync, newProxyGetsItsStateFromPeersDuringALogOutage)
 {
     m_fleet.runRounds(2);
@@ -417,8 +415,8 @@
     checkAllApplied(1);
 }
 
-// The whole fleet is restarted while the log is away, so nobody knows the table.
-// A proxy that took the empty table for the configuration would refuse every client account.
+// The whole fleet is restarted during a log outage, so no proxy knows the table. A proxy that used the empty table as
+// its configuration would reject every client account.
 TEST(ConfigSync, fleetRestartedWithoutLogIsNotReadyUntilASnapshotIsLoaded)
 {
     m_fleet.runRounds(2);
@@ -439,8 +437,8 @@
     checkAllApplied(1);
 }
 
-// The log is made anew from offset 0, and grows past what the fleet has applied.
-// Proxies that follow by offset would revert edits, or mix two histories.
+// The log is recreated from offset 0, and grows beyond the offset that the fleet has applied. Proxies that follow by
+// offset would revert edits or mix two histories.
 TEST(ConfigSync, recreatedLogIsReportedAndNotFollowed)
 {
     m_fleet.runRounds(2);
@@ -455,8 +453,8 @@
     LONGS_EQUAL(2, records.size());
 }
 
-// A fresh proxy has read a part of the log when the log goes away.
-// Serving by that part would bring back rows that were removed since.
+// A new proxy has read only a part of the log when an outage begins. A table made from that part would bring back rows
+// that were removed later.
 TEST(ConfigSync, proxyWithAPartOfTheLogIsNotReady)
 {
     m_fleet.runRounds(2);
@@ -472,7 +470,7 @@
     CHECK_FALSE(sync(0).status().ready());
 }
 
-// The log was made anew and is empty when one proxy restarts, and the others still hold the table.
+// The log was recreated and is empty when one proxy restarts, while the others still have the table.
 TEST(ConfigSync, emptyLogIsNotAnEmptyTableUntilPeersWereQueried)
 {
     m_fleet.runRounds(2);
@@ -488,7 +486,7 @@
     checkAllApplied(1);
 }
 
-// Every record of the log has expired, edits and snapshots apart.
+// Every edit in the log has expired, and only snapshots remain.
 TEST(ConfigSync, fleetStartsFromASnapshotWhenRecordsHaveExpired)
 {
     m_fleet.runRounds(2);
--- a/src/net/discoveryclient.cpp
+++ b/src/net/discoveryclient.cpp
@@ -1,4 +1,5 @@
-// The configuration; newsfollowertargets.cpp has the targets, newsfollowerpeers.cpp what processes tell each other.
+// The configuration part of DiscoveryClient. Targets are in discoveryclienttargets.cpp, and the communication with
+// other processes is in discoveryclientpeers.cpp.
 #include "mulberryplank/net/discoveryclient.h"
 
 #include <boost/asio/co_spawn.hpp>
@@ -80,12 +81,12 @@
     return m_storeFailures < internal::OutageFailures;
 }
 
-// Makes a read of the store, which has not startedAt yet, if it may be tried now.
+// Runs `read`, which must not have started yet, unless the store may not be tried again yet.
 asio::awaitable<Result<void>> DiscoveryClient::runStoreRead(KeyedTopic topic, asio::awaitable<Result<void>> read)
 {
     const std::size_t sharing = m_hooks.hasReader() ? m_hooks.followersInDomain() : 0;
     if (!m_storeRetry.mayTry(Clock::now(), sharing)) {
-        co_return failure(ErrorKind::PlatformUnavailable, "store: not tried again yet");
+        co_return failure(ErrorKind::PlatformUnavailable, "store: waiting before the next attempt");
     }
     const Instant startedAt = Clock::now();
     const Result<void> result = co_await std::move(read);
@@ -96,7 +97,8 @@
     co_return result;
 }
 
-// A read that fails once changes nothing that is logged elsewhere, and one after the other may fail in the same way.
+// Logs a failed read with its source: a single failure shows nowhere else in the log. Several may fail in quick
+// succession, so they are throttled.
 void DiscoveryClient::noteFailure(KeyedTopic topic, std::string_view source, Instant startedAt, const Error &error)
 {
     const Instant now = Clock::now();
@@ -138,7 +140,7 @@
 {
     Result<RouteTable> decoded = m_hooks.decodeRoutes(bytes);
     if (!decoded) {
-        // The last good one stays in force.
+        // The last valid one stays in force.
         noteUnreadable(KeyedTopic::Configuration, decoded.error().detail);
         return;
     }
@@ -170,27 +172,28 @@
             applyConfiguration(*record.value, internal::FromStore);
         }
     }
-    // A stale answer ends earlier than what was read before; following from there would only read it again.
+    // A stale response ends earlier than previous reads. Continuing from there would only read the same records again.
     m_configurationNext = std::max(m_configurationNext, snapshot->next);
     m_configurationKnown = true;
     co_return Result<void> {};
 }
 
-// Reads the newest configuration from the store unless it came from elsewhere while another such read was waited for.
-// Other processes are asked beside it: a whole configuration may take the store seconds, and what others have is small.
+// Reads the newest configuration from the store, unless a new one arrived from elsewhere while this waited for another
+// such read. Other processes are queried concurrently: reading a whole one from the store may need seconds, while other
+// processes send it in small pieces.
 asio::awaitable<Result<void>> DiscoveryClient::readNewestExclusively()
 {
     const std::uint64_t before = versionInForce();
-    co_await m_newestRead.take();
+    co_await m_newestRead.lock();
     Result<void> read;
     if (versionInForce() == before) {
         read = co_await runStoreRead(KeyedTopic::Configuration, readNewestConfiguration());
     }
-    m_newestRead.release();
+    m_newestRead.unlock();
     co_return read;
 }
 
-// Reads what is new, and waits for it if there is nothing.
+// Reads what is new, and waits for new records if there are none.
 asio::awaitable<Result<void>> DiscoveryClient::readNextConfigurations()
 {
     const Offset from = m_configurationNext;
@@ -229,13 +232,13 @@
     return m_routes ? m_routes->version : 0;
 }
 
-// Asks for one piece after the other until nothing newer is left, or a whole one can't be used. A piece that doesn't
-// come ends it; those that have come are kept. One transfer at a time: several would share a narrow link, so that each
-// takes longer than it is waited for.
+// Fetches one piece after the other until nothing newer is left, or a complete configuration can't be used. A piece
+// that doesn't arrive ends the transfer; those that have arrived are kept. Only one transfer runs at a time: several
+// would share a narrow link, and each would exceed its timeout.
 asio::awaitable<Result<PeerUpdate>> DiscoveryClient::fetchConfiguration(const Query &query, std::string_view source)
 {
-    co_await m_peerTransfer.take();
-    Result<PeerUpdate> update = failure(ErrorKind::PeerLost, "not asked");
+    co_await m_peerTransfer.lock();
+    Result<PeerUpdate> update = failure(ErrorKind::PeerLost, "not queried");
     bool progressing = true;
     while (progressing) {
         const PiecePosition before = m_transfer.next();
@@ -250,11 +253,11 @@
         const bool hasPiece = after.version != 0 && (after.version != before.version || after.begin != before.begin);
         progressing = update && (hasPiece || versionInForce() != versionBefore);
     }
-    m_peerTransfer.release();
+    m_peerTransfer.unlock();
     co_return update;
 }
 
-// Waits until another process has a newer version. Now and then this one asks without being told, since hints can be
+// Waits until another process has a newer version. Returns after an interval even without a hint, since hints can be
 // lost.
 asio::awaitable<void> DiscoveryClient::awaitNewVersion()
 {
@@ -266,8 +269,8 @@
     co_await m_nextConfiguration.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-// A process that another one of its failure domain reads for asks that one, then those who say that they have what it
-// lacks, then the store.
+// A process with a designated reader queries that one first, then the processes that report a newer version, then the
+// store.
 asio::awaitable<Result<void>> DiscoveryClient::readConfiguration()
 {
     if (m_hooks.hasReader() && !m_hooks.readsConfiguration()) {
@@ -276,14 +279,15 @@
         }
         m_hinted = false;
         const Result<PeerUpdate> update = co_await fetchConfiguration(m_hooks.queryReader, internal::FromReader);
-        // The store may turn away the readers of all failure domains at once while it serves everybody else: then
-        // nobody would learn of a new configuration. So a reader says when it isn't served, and the others read.
+        // The store may reject the readers of all failure domains at once while it serves all other processes. Then no
+        // process would learn of a new configuration. So a reader reports that it isn't served, and the other processes
+        // read the store themselves.
         m_readerLacksStore = update && !update->storeResponds;
         if (isBehind()) {
             co_await fetchConfiguration(m_hooks.queryPeer, internal::FromPeer);
         }
         if (update && !m_readerLacksStore) {
-            m_configurationKnown = false; // how far the store's records were read says nothing any more
+            m_configurationKnown = false; // the position of earlier store reads is outdated
         }
         if (update && !m_readerLacksStore && !isBehind()) {
             co_return Result<void> {};
@@ -297,7 +301,7 @@
     while (true) {
         const Result<void> read = co_await readConfiguration();
         if (!read) {
-            m_configurationKnown = false; // the newest one next: what came meanwhile may not be kept
+            m_configurationKnown = false; // read the newest one next: records written meanwhile may not be kept
             co_await fetchConfiguration(m_hooks.queryPeer, internal::FromPeer);
         }
         if (!read || (isBehind() && m_hooks.hasReader())) {
@@ -319,17 +323,16 @@
     }
 }
 
-// The read that waits for a new configuration may hang on a connection that has gone silent, or the store may turn this
-// process away while it serves others. Without this the process would go by an old configuration until its read times
-// out.
+// The read that waits for a new configuration may hang on an unresponsive connection, or the store may reject this
+// process while it serves others. Without this the process would use an old configuration until its read times out.
 asio::awaitable<void> DiscoveryClient::catchUp()
 {
     co_await sleepFor(m_context, m_settings.catchUpDelay);
-    // Others first: they have it for certain, and a store that this process has not heard from may not answer it.
+    // Other processes first: they certainly have it, and a store that hasn't sent it may not respond to this process.
     if (isBehind() && !m_peerTransfer.isLocked()) {
         co_await fetchConfiguration(m_hooks.queryPeer, internal::FromPeer);
     }
-    // A newer version that others tell of while the store is read is asked for beside that.
+    // A newer version that is reported while the store is read is fetched concurrently.
     m_catchingUp = false;
     if (isBehind() && !m_peerTransfer.isLocked() && !m_newestRead.isLocked()) {
         co_await readNewestExclusively();
--- a/src/net/discoveryclientpeers.cpp
+++ b/src/net/discoveryclientpeers.cpp
@@ -38,8 +38,7 @@
     return request;
 }
 
-// Doesn't query for the configuration as well: its answer would then come too late where that takes longer than a list
-// of targets is waited for.
+// Doesn't request the configuration as well: the response would then exceed the timeout for a list of targets.
 PeerUpdateRequest DiscoveryClient::targetsRequest() const
 {
     PeerUpdateRequest request;
@@ -51,7 +50,7 @@
     return request;
 }
 
-// Asks another process by `query`. That none is there to read for this one is no failure.
+// Queries another process through `query`. If this process has no designated reader, that isn't logged as a failure.
 asio::awaitable<Result<PeerUpdate>> DiscoveryClient::runQuery(KeyedTopic topic,
                                                               const Query &query,
                                                               std::string_view source,
@@ -68,24 +67,25 @@
 void DiscoveryClient::applyPiece(const ConfigurationPiece &piece)
 {
     const std::optional<std::string> packed = m_transfer.take(piece);
-    // With another base than the one in force it can't be unpacked any more: the configuration changed on the way.
+    // The piece can't be decompressed if its base isn't the configuration in force: that has changed during the
+    // transfer.
     if (!packed || (piece.base != 0 && piece.base != m_offer.digest())) {
         return;
     }
     const std::string_view base = piece.base == 0 ? std::string_view() : m_offer.bytes();
     const Result<std::string> bytes = unpack(*packed, base);
     if (!bytes) {
-        // What stands in the store may still be read.
+        // The copy in the store may still be readable.
         noteUnreadable(KeyedTopic::Configuration, bytes.error().detail);
         return;
     }
     applyConfiguration(*bytes, internal::FromPeer);
-    // Asking for one that can't be used again would bring the same bytes, again and again.
+    // Requesting an unusable version again would bring the same bytes over and over.
     const std::uint64_t version = piece.position.version;
     m_unreadableVersion = version > versionInForce() ? version : m_unreadableVersion;
 }
 
-// Returns true if the update hold a list of targets that is up to date.
+// Returns true if the update contains a list of targets that is up to date.
 bool DiscoveryClient::applyPeerUpdate(const PeerUpdate &update)
 {
     applyPiece(update.configuration);
@@ -93,7 +93,8 @@
     if (!update.hasTargets || update.targetsNext < m_targetsNext) {
         return false;
     }
-    // In an outage others may have read the store after this process, though too long ago to go by.
+    // In an outage other processes may have read the store later than this one, though too long ago for an up-to-date
+    // list.
     if (!update.upToDate && m_targetsKnown && update.targetsNext == m_targetsNext) {
         return false;
     }
@@ -109,7 +110,7 @@
     return update.upToDate;
 }
 
-// Returns whether the list differs from the one before, or nothing if it can't be read.
+// Returns whether the list differs from the previous one, or nothing if it can't be decoded.
 std::optional<bool> DiscoveryClient::applyList(const PeerUpdate &update, Instant now)
 {
     if (!update.packedTargets.empty()) {
@@ -142,13 +143,14 @@
         return update;
     }
     const Instant now = Clock::now();
-    // Whoever asks will query again: what isn't followed here yet is by then.
+    // The requester will retry. By then the list is followed here as well.
     if (!followsTargets(now)) {
         m_lastNeededAt = now;
         m_nextTargets.cancel();
     }
     const Duration age = now - m_targetsReadAt;
-    // Whoever takes it goes by it for another interval. Less would refuse lists of a process that reads in time.
+    // The requester uses the list for another interval. A lower limit would reject the lists of a process that reads in
+    // time.
     update.upToDate = m_targetsKnown && !m_targetsChanged && age < m_settings.targetsInterval * 5 / 4;
     update.hasTargets = update.upToDate || (m_targetsKnown && m_targetsNext > request.targetsNext);
     update.ageMillis = std::chrono::duration_cast<Millis>(age).count();
@@ -162,8 +164,8 @@
     return update;
 }
 
-// Tells what has changed where that is known, as for those who follow the list here. What goes wrong without this: each
-// change makes all of them fetch the whole list at once, over this process's link, and it comes too late for most.
+// Adds only the difference where it is known, which holds for processes that follow this process's list. Otherwise each
+// change would make all of them fetch the whole list at once over this process's link, too late for many of them.
 void DiscoveryClient::addList(const PeerUpdateRequest &request, PeerUpdate &update)
 {
     const bool followsOwnList = m_listOwner == m_self && request.listOwner == m_self;
@@ -183,7 +185,7 @@
     }
 }
 
-// Packed once for all who query.
+// Returns the compressed list, which is cached for all requesters.
 const std::string &DiscoveryClient::packedList()
 {
     if (m_packedList.empty() || m_packedVersion != m_directory.changes()) {
--- a/src/net/discoveryclientprivate.h
+++ b/src/net/discoveryclientprivate.h
@@ -1,4 +1,4 @@
-// What the files of DiscoveryClient share.
+// Constants shared by the files of DiscoveryClient.
 #pragma once
 
 #include <string_view>
@@ -12,11 +12,11 @@
 inline constexpr std::string_view FromPeer = "peer";
 inline constexpr std::string_view FromReader = "reader";
 
-// Reads fail by the hundred a second where a fleet has lost its store.
+// Throttles the log: hundreds of reads fail each second where a fleet has lost its store.
 inline constexpr Duration FailureLogInterval = Seconds(1);
 
-// Reads that failed one after the other from which on the store counts as away: a single lost answer must not keep
-// targets listed that have gone.
+// The number of consecutive failed reads after which the store counts as unavailable. A single lost response must not
+// keep targets listed that have left.
 inline constexpr int OutageFailures = 2;
 
 } // namespace mulberryplank::internal
--- a/src/net/discoveryclienttargets.cpp
+++ b/src/net/discoveryclienttargets.cpp
@@ -21,16 +21,16 @@
 namespace
 {
 
-// For so long after a disturbance of the store late heartbeats say nothing about targets.
+// For this long after a failure of the store, late heartbeats don't count against targets.
 constexpr Duration HeartbeatsTrustedAfter = Seconds(5);
 
-// After a pause of this length the newest records are read instead of all that came meanwhile.
+// After an interval of this length the newest records are read instead of all records written meanwhile.
 constexpr Duration RereadAfter = Seconds(4);
 
-// How many other processes are asked for a list, one after the other, before the store is.
+// How many other processes are queried for a list, one after the other, before the store is read.
 constexpr int PeersQueriedForList = 3;
 
-// How often a request that waits looks whether what it waits for is there: about a read's time.
+// How often a waiting request checks its condition: about the time of one read.
 constexpr Duration PollInterval = Millis(5);
 
 } // namespace
@@ -42,7 +42,7 @@
     return m_lastNeededAt != Instant {} && now - m_lastNeededAt < m_settings.targetsFollowedFor;
 }
 
-// Lets a request wait until `done`, but not beyond `limit`.
+// Lets a request wait until `done` returns true, but not beyond `limit`.
 DataAwaitable<void> DiscoveryClient::waitUntil(std::function<bool()> done, Instant limit)
 {
     while (!done() && Clock::now() < limit) {
@@ -69,7 +69,7 @@
     if (tooOld) {
         m_nextTargets.cancel();
     }
-    // While nobody has a newer list, waiting for one would only delay each request.
+    // While no process has a newer list, waiting for one would only delay each request.
     if (tooOld && !isUnavailable) {
         const std::function<bool()> wasRead = [this, before = m_targetReads] {
             return m_targetReads != before;
@@ -79,14 +79,15 @@
     co_return m_targetsKnown;
 }
 
-// Any writer may have written the record. One that can't be read names no target to use, whatever stood there before.
+// Any client of the store may have written the record. An unreadable record removes the target of its key, whatever the
+// previous record of that key contained.
 bool DiscoveryClient::applyTarget(const KeyedRecord &record, Instant now)
 {
     const std::optional<AnnouncedTarget> target = parseTarget(record);
     return target ? m_directory.announce(*target, now) : m_directory.remove(TargetName(record.key), now);
 }
 
-// Returns nothing for a removal and for a record that can't be read.
+// Returns nothing for a removal and for an unreadable record.
 std::optional<AnnouncedTarget> DiscoveryClient::parseTarget(const KeyedRecord &record)
 {
     if (!record.value) {
@@ -151,10 +152,10 @@
         co_return tl::make_unexpected(snapshot.error());
     }
     if (snapshot->next < before) {
-        co_return failure(ErrorKind::PlatformUnavailable, "store: a list older than one read before");
+        co_return failure(ErrorKind::PlatformUnavailable, "store: returned a list older than one read before");
     }
     if (snapshot->next < m_targetsNext) {
-        co_return Result<void> {}; // a list that goes further has come from elsewhere meanwhile
+        co_return Result<void> {}; // a list that goes further has arrived from elsewhere meanwhile
     }
     std::vector<AnnouncedTarget> targets;
     for (const KeyedRecord &record : snapshot->records) {
@@ -170,11 +171,11 @@
     co_return Result<void> {};
 }
 
-// Returns true if the list that another process has is up to date and was updated. One that has never had any begins to
-// read it when it is asked, so it is asked again, up to `maxTries` times: where a whole fleet has started anew,
-// everybody would read the list from the store otherwise, which costs it the square of the fleet's size. One whose list
-// is old may be waiting for a store that doesn't answer it: waiting for that one would keep targets in use that have
-// gone.
+// Fetches the list from another process. Returns true if that list is up to date and was applied. A process without a
+// list starts to read one when it is queried, so it is queried again, up to `maxTries` times. Otherwise, after a
+// restart of the whole fleet, every process would read the list from the store, whose load would grow with the square
+// of the fleet's size. A process with an old list isn't queried again: it may be waiting for an unresponsive store, and
+// waiting for it would keep targets in use that have left.
 asio::awaitable<bool> DiscoveryClient::fetchTargetsFrom(const Query &query, std::string_view source, int maxTries)
 {
     for (int tries = 0; tries < maxTries; ++tries) {
@@ -190,7 +191,7 @@
     co_return false;
 }
 
-// Reads the list from the store, unless such a read is under way. Returns whether it was read.
+// Reads the list from the store, unless such a read is in progress. Returns whether it was read.
 asio::awaitable<bool> DiscoveryClient::fetchTargetsFromStore()
 {
     if (m_readsTargets) {
@@ -205,9 +206,10 @@
     co_return read.has_value();
 }
 
-// One process of each failure domain reads the targets from the store, and the others have them from it: reads are
-// billed, and every process that has requests needs the list. Where that process doesn't help, several others are
-// asked, which may not be served either, and then the store. Returns whether a list that is up to date was updated.
+// Gets an up-to-date list. One process of each failure domain reads the targets from the store and the others fetch
+// them from it, because reads are billed and every process that has requests needs the list. If that process can't
+// provide it, several other processes are queried, which may not be served either, and then the store. Returns whether
+// an up-to-date list was applied.
 asio::awaitable<bool> DiscoveryClient::renewTargets()
 {
     const StaggeredStep queryReader = [this] {
@@ -224,7 +226,7 @@
     if (hasReader) {
         steps.push_back(queryReader);
     }
-    // A store that gave no answer when it was asked last may take its whole time limit again.
+    // A store that didn't respond to the last read may take its whole timeout again.
     if (hasReader || m_storeFailures > 0) {
         steps.insert(steps.end(), internal::PeersQueriedForList, queryPeer);
     }
@@ -247,7 +249,7 @@
         co_return co_await readAllTargets();
     }
     if (page->next < m_targetsNext) {
-        co_return Result<void> {}; // a list that goes further has come from elsewhere meanwhile
+        co_return Result<void> {}; // a list that goes further has arrived from elsewhere meanwhile
     }
     bool changed = false;
     for (const KeyedRecord &record : page->records) {
@@ -259,7 +261,7 @@
     co_return Result<void> {};
 }
 
-// A list from another process may be old already when it comes.
+// Returns the delay until the next list is needed. A list from another process may be old on arrival.
 Duration DiscoveryClient::nextListDelay(Instant now) const
 {
     const Duration left = m_targetsReadAt + m_settings.targetsRenewalAge - now;
--- a/src/net/discoveryclienttest.cpp
+++ b/src/net/discoveryclienttest.cpp
@@ -15,8 +15,8 @@
 
 constexpr Incarnation Self = 7;
 
-// A client on a fake store, whose configurations are plain version numbers and whose targets' records are sequence
-// numbers, with a 'd' behind them while draining.
+// A client of a fake store. Configurations are plain version numbers. Targets' records are sequence numbers, followed
+// by 'd' while the target drains.
 class ClientFixture
 {
 public:
@@ -44,7 +44,7 @@
     static Result<AnnouncedTarget> decodeTarget(std::string_view id, std::string_view bytes)
     {
         if (bytes == "unreadable") {
-            return failure(ErrorKind::BadConfiguration, "not an entry");
+            return failure(ErrorKind::BadConfiguration, "not a target's record");
         }
         AnnouncedTarget target;
         target.id = TargetName(std::string(id));
@@ -98,13 +98,13 @@
         client->start();
     }
 
-    // Runs until `done`; returns false when that does not come about.
+    // Runs until `done` returns true. Returns false if it doesn't within the time limit.
     bool runUntil(const std::function<bool()> &done)
     {
         return mulberryplank::runUntil(context, done);
     }
 
-    // Runs with this configuration until it waits for the next one.
+    // Runs with this configuration until the client waits for the next one.
     void runWith(const std::string &version)
     {
         store.put(KeyedTopic::Configuration, "config", version);
@@ -114,7 +114,7 @@
         });
     }
 
-    // The same as runUntil(), until there is a configuration.
+    // Runs until a configuration is in force. Returns false if none is within the time limit.
     bool runUntilConfigured()
     {
         return runUntil([this] {
@@ -122,7 +122,7 @@
         });
     }
 
-    // The same until this configuration is the one in force.
+    // Runs until this configuration is in force. Returns false if it isn't within the time limit.
     bool runUntilInForce(std::uint64_t version)
     {
         return runUntil([this, version] {
@@ -130,7 +130,7 @@
         });
     }
 
-    // Lets so many rounds pass.
+    // Runs `count` rounds.
     void runRounds(int count)
     {
         runUntil([&count] {
@@ -138,7 +138,7 @@
         });
     }
 
-    // Waits for routes as a request does, and says so in `waited`.
+    // Waits for routes as a request does, and then sets `waited`.
     void awaitRoutes(bool &waited)
     {
         const std::function<DataAwaitable<void>()> wait = [this, &waited]() -> DataAwaitable<void> {
@@ -148,7 +148,7 @@
         boost::asio::co_spawn(context.get_executor(), wait, boost::asio::detached);
     }
 
-    // Asks for the targets as a request does; runs until that has an result.
+    // Requests the targets as a request does, and runs until that completes.
     bool ensureTargets()
     {
         std::optional<bool> result;
@@ -170,7 +170,7 @@
     boost::asio::awaitable<Result<PeerUpdate>> query(PeerUpdateRequest request, DiscoveryClient *other)
     {
         if (other == nullptr) {
-            co_return failure(ErrorKind::PeerLost, "nobody there");
+            co_return failure(ErrorKind::PeerLost, "no such process");
         }
         ++queries;
         PeerUpdate update = other->respondToPeer(request);
@@ -191,14 +191,14 @@
     DiscoveryClient *reader = nullptr;
     std::function<Result<RouteTable>(std::string_view)> decode = decodeRoutes;
     Incarnation self = Self;
-    std::function<void()> onEmptyResponse; // called while the result that no configuration is newer is on its way
-    std::function<void(PeerUpdate &)> alterUpdate; // changes the answers of other processes
-    int queries = 0; // how often another process answered
-    std::vector<std::uint64_t> versions; // as they came into force
+    std::function<void()> onEmptyResponse; // called while a response without a newer configuration is in transit
+    std::function<void(PeerUpdate &)> alterUpdate; // modifies the responses of other processes
+    int queries = 0; // how many were sent to other processes
+    std::vector<std::uint64_t> versions; // in the order in which they were put in force
     int targetReads = 0;
     int listChanges = 0;
     int storeChanges = 0;
-    int firstRecoveries = 0; // of these, how often before anybody else
+    int firstRecoveries = 0; // how many of these were the first to detect the recovery
     std::size_t followersInDomain = 1;
     bool readsConfiguration = false;
     std::vector<std::string> failedSources; // as logged
@@ -223,7 +223,7 @@
     CHECK_EQUAL(5, fixture.client->routes()->version);
 }
 
-// Failure: requests are handled by an older configuration than a moment before.
+// Failure: requests are handled by an older configuration than the moment before.
 TEST(DiscoveryClient, versionNeverDecreases)
 {
     ClientFixture fixture;
@@ -270,7 +270,7 @@
     CHECK_TRUE(fixture.runUntilConfigured());
 }
 
-// Failure: one process goes by an old configuration for as long as the store turns it away.
+// Failure: a process uses an old configuration for as long as the store rejects it.
 TEST(DiscoveryClient, processRejectedByTheStoreUpdatesFromAPeer)
 {
     ClientFixture healthy;
@@ -281,7 +281,7 @@
     healthy.runUntilConfigured();
     CHECK_TRUE(healthy.ensureTargets());
     ClientFixture rejected;
-    rejected.store.away = true;
+    rejected.store.inOutage = true;
     rejected.peer = healthy.client.get();
     rejected.start();
     CHECK_TRUE(rejected.runUntilConfigured());
@@ -297,7 +297,7 @@
     fixture.runUntil([&] {
         return fixture.store.calls["read configuration"] > 0;
     });
-    // The read that waits has removed silent: it hears nothing of the new version.
+    // The waiting read is unresponsive: it doesn't receive the new version.
     const int before = fixture.store.calls["newest configuration"];
     fixture.client->noteRemoteVersion(2);
     CHECK_TRUE(fixture.runUntil([&] {
@@ -381,7 +381,7 @@
     CHECK_TRUE(fixture.listChanges >= 3);
 }
 
-// Failure: a target that leaves gets requests for seconds where the store no longer keeps the records after the list.
+// Failure: a target that leaves gets requests for seconds because the store no longer keeps the records after the list.
 TEST(DiscoveryClient, droppedHistoryOfTargetsLeadsToTheNewestList)
 {
     ClientFixture fixture;
@@ -405,7 +405,7 @@
     fixture.store.put(KeyedTopic::Targets, "i-1", "1");
     fixture.start();
     fixture.ensureTargets();
-    fixture.store.away = true;
+    fixture.store.inOutage = true;
     constexpr int Failures = 20; // after these the list is too old
     const int before = fixture.targetReads;
     fixture.runUntil([&] {
@@ -414,7 +414,7 @@
     CHECK_TRUE(fixture.ensureTargets());
 }
 
-// Failure: requests go to what an entry named that somebody else has overwritten, or no target is known any more.
+// Failure: requests go to the target of a record that another writer has overwritten, or all targets are lost.
 TEST(DiscoveryClient, unreadableRecordRemovesOnlyItsOwnTarget)
 {
     ClientFixture fixture;
@@ -465,7 +465,7 @@
     CHECK_EQUAL(0, fixture.store.calls["newest targets"]);
 }
 
-// Failure: for a second after each change the lists of targets come too late, and gateways read them from the store.
+// Failure: for a second after each change the lists of targets arrive too late, and gateways read them from the store.
 TEST(DiscoveryClient, onlyChangedTargetsAreSent)
 {
     ClientFixture readerFixture;
@@ -501,7 +501,7 @@
     CHECK_EQUAL(99, fixture.client->directory().targets().size());
 }
 
-// Failure: a store that has just served a whole fleet's start is queries for all targets by every process.
+// Failure: after a fleet's start every process reads all targets from a store that has just served that start.
 TEST(DiscoveryClient, readerThatIsStillReadingIsQueriedAgain)
 {
     ClientFixture readerFixture;
@@ -520,7 +520,7 @@
     CHECK_EQUAL(0, fixture.store.calls["newest targets"]);
 }
 
-// Failure: a target gets requests more than three seconds after it said that it leaves.
+// Failure: a target gets requests more than three seconds after it announced that it leaves.
 TEST(DiscoveryClient, readerWithAnOldListIsNotWaitedFor)
 {
     ClientFixture readerFixture;
@@ -539,7 +539,7 @@
     CHECK_EQUAL(0, fixture.store.calls["newest targets"]); // the records after the old list are enough
 }
 
-// Failure: a process goes by its old list in an outage, though others have a newer one.
+// Failure: a process uses its old list during an outage although other processes have a newer one.
 TEST(DiscoveryClient, oldListThatIsNewerThanTheOwnOneIsApplied)
 {
     ClientFixture readerFixture;
@@ -554,7 +554,7 @@
     fixture.store.put(KeyedTopic::Targets, "i-1", "1");
     fixture.start();
     fixture.ensureTargets();
-    fixture.store.away = true;
+    fixture.store.inOutage = true;
     fixture.peer = readerFixture.client.get();
     CHECK_TRUE(fixture.runUntil([&] {
         fixture.ensureTargets();
@@ -562,7 +562,7 @@
     }));
 }
 
-// Failure: in an outage whole lists are sent again and again.
+// Failure: whole lists are sent over and over during an outage.
 TEST(DiscoveryClient, oldListIsNotSentToAProcessThatHasIt)
 {
     ClientFixture readerFixture;
@@ -619,7 +619,7 @@
     CHECK_EQUAL(0, fixture.store.calls.size());
 }
 
-// Failure: after a loss of all power the requests of the first half second are refused, and their callers don't return.
+// Failure: after a loss of all power, requests of the first half second are rejected, and their callers don't retry.
 TEST(DiscoveryClient, requestBeforeTheFirstRoutesWaitsForThem)
 {
     ClientFixture fixture;
@@ -649,8 +649,8 @@
 
 TEST(DiscoveryClient, storeIsReadWhenTheReaderHasNoList)
 {
-    ClientFixture readerFixture; // has started, and has read nothing
-    readerFixture.store.away = true;
+    ClientFixture readerFixture; // has started without readerFixture anything
+    readerFixture.store.inOutage = true;
     readerFixture.start();
     ClientFixture fixture;
     fixture.reader = readerFixture.client.get();
@@ -664,12 +664,12 @@
 {
     ClientFixture fixture;
     fixture.settings.targetsWait = Millis(5);
-    fixture.store.away = true;
+    fixture.store.inOutage = true;
     fixture.start();
     CHECK_FALSE(fixture.ensureTargets());
 }
 
-// Failure: all processes go by an old configuration for seconds, though the store serves most of them.
+// Failure: all processes use an old configuration for seconds although the store serves all but the readers.
 TEST(DiscoveryClient, configurationIsReadFromTheStoreWhenTheReaderIsRejected)
 {
     ClientFixture readerFixture;
@@ -682,7 +682,7 @@
     fixture.reader = readerFixture.client.get();
     fixture.start();
     fixture.runUntilConfigured();
-    readerFixture.store.away = true;
+    readerFixture.store.inOutage = true;
     readerFixture.store.wake();
     CHECK_TRUE(readerFixture.runUntil([&] {
         return readerFixture.storeChanges > 0;
@@ -707,8 +707,8 @@
     many.start();
     CHECK_TRUE(many.runUntilConfigured());
     many.reader = reader.client.get();
-    many.store.away = true;
-    reader.store.away = true;
+    many.store.inOutage = true;
+    reader.store.inOutage = true;
     reader.store.wake();
     CHECK_TRUE(reader.runUntil([&] {
         return !reader.client->storeResponds();
@@ -720,15 +720,15 @@
     const int before = many.store.calls["newest configuration"];
     many.runRounds(200);
     CHECK_TRUE(many.store.calls["newest configuration"] <= before + 1);
-    // A hint ends the pause.
-    many.store.away = false;
+    // A hint ends the delay.
+    many.store.inOutage = false;
     many.store.put(KeyedTopic::Configuration, "config", "2");
     many.client->noteRemoteUpdate();
     CHECK_TRUE(many.runUntilInForce(2));
     CHECK_EQUAL(0, many.firstRecoveries);
 }
 
-// Failure: a gateway goes by an old configuration for seconds, and nothing in its log says why.
+// Failure: a gateway uses an old configuration for seconds, and its log doesn't show the reason.
 TEST(DiscoveryClient, failedReadIsLoggedWithItsSource)
 {
     ClientFixture fixture;
@@ -736,11 +736,11 @@
     fixture.store.failuresLeft = 1;
     fixture.start();
     CHECK_TRUE(fixture.runUntilConfigured());
-    CHECK_EQUAL(1, fixture.failedSources.size()); // that nobody could be queries instead came within the same second
+    CHECK_EQUAL(1, fixture.failedSources.size()); // that no peer is available was throttled within the same second
     STRCMP_EQUAL("store", fixture.failedSources.front().c_str());
 }
 
-// Failure: a gateway learns of a new configuration ten seconds late, though it was told of it.
+// Failure: a gateway gets a new configuration ten seconds late although it received a hint.
 TEST(DiscoveryClient, hintDuringAQueryIsNotLost)
 {
     ClientFixture readerFixture;
@@ -776,7 +776,7 @@
     CHECK_TRUE(other.runUntilConfigured());
     ClientFixture fixture;
     fixture.decode = [](std::string_view bytes) -> Result<RouteTable> {
-        return bytes == "2" ? failure(ErrorKind::BadConfiguration, "of a newer kind")
+        return bytes == "2" ? failure(ErrorKind::BadConfiguration, "of a newer format")
                             : ClientFixture::decodeRoutes(bytes);
     };
     fixture.store.put(KeyedTopic::Configuration, "config", "1");
@@ -792,7 +792,7 @@
     CHECK_EQUAL(1, fixture.client->routes()->version);
 }
 
-// Failure: a gateway keeps its link busy and goes by an old configuration, though the store has the newest one.
+// Failure: a gateway saturates its link and uses an old configuration although the store has the newest one.
 TEST(DiscoveryClient, corruptConfigurationFromAPeerIsReadFromTheStore)
 {
     ClientFixture other;
@@ -804,7 +804,7 @@
     fixture.start();
     CHECK_TRUE(fixture.runUntilConfigured());
     fixture.reader = other.client.get();
-    fixture.store.wake(); // from here on it waits to be told
+    fixture.store.wake(); // from here on it waits for hints
     fixture.runRounds(5);
     fixture.alterUpdate = [](PeerUpdate &update) {
         if (!update.configuration.bytes.empty()) {
--- a/src/net/discoveryfleettest.cpp
+++ b/src/net/discoveryfleettest.cpp
@@ -10,10 +10,10 @@
 {
 
 constexpr Duration ConfigurationBound = Seconds(2); // from its confirmation until a configuration is in force
-constexpr Duration DrainBound = Seconds(2); // from a target's leaving until it gets no requests drawBelow more
+constexpr Duration DrainBound = Seconds(2); // from a target's leaving until it gets no further requests
 constexpr std::size_t Targets = 6;
 
-// Draws the disturbances of a fleet from its seed.
+// Injects random faults, drawn from a seed, into a fleet.
 class FaultInjector
 {
 public:
@@ -21,24 +21,24 @@
         : m_fleet(fleet)
         , m_random(seed)
         , m_access(fleet.size(), StoreAccess::Served)
-        , m_isCut(fleet.size(), false)
+        , m_isDisconnected(fleet.size(), false)
     {
         for (std::size_t target = 0; target < Targets; ++target) {
             m_targets.push_back(fleet.startTarget());
         }
     }
 
-    // Changes something with some likelihood.
+    // Changes several conditions, each with a fixed probability.
     void next()
     {
         if (drawEvent(0.1)) {
-            m_fleet.restartProcess(anyProcess());
+            m_fleet.restartProcess(drawProcess());
         }
         if (drawEvent(0.3)) {
             changeAccess();
         }
         if (drawEvent(0.1)) {
-            changeCut();
+            toggleConnection();
         }
         if (drawEvent(0.3)) {
             m_fleet.changeConfiguration();
@@ -63,31 +63,31 @@
         return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random);
     }
 
-    std::size_t anyProcess()
+    std::size_t drawProcess()
     {
         return drawBelow(m_fleet.size());
     }
 
-    // At least half of the processes are served and connected.
+    // Returns whether a process may be disturbed so that half of the processes or more remain served and connected.
     bool mayDisturbOne() const
     {
         std::size_t healthy = 0;
         for (std::size_t index = 0; index < m_fleet.size(); ++index) {
-            healthy += m_access[index] == StoreAccess::Served && !m_isCut[index] ? 1 : 0;
+            healthy += m_access[index] == StoreAccess::Served && !m_isDisconnected[index] ? 1 : 0;
         }
         return healthy * 2 > m_fleet.size();
     }
 
-    void changeCut()
+    void toggleConnection()
     {
-        const std::size_t index = anyProcess();
-        m_isCut[index] = !m_isCut[index] && mayDisturbOne();
-        m_fleet.setCut(index, m_isCut[index]);
+        const std::size_t index = drawProcess();
+        m_isDisconnected[index] = !m_isDisconnected[index] && mayDisturbOne();
+        m_fleet.setDisconnected(index, m_isDisconnected[index]);
     }
 
     void changeAccess()
     {
-        const std::size_t index = anyProcess();
+        const std::size_t index = drawProcess();
         const StoreAccess lost = drawEvent(0.5) ? StoreAccess::Refused : StoreAccess::Unresponsive;
         m_access[index] = m_access[index] == StoreAccess::Served && mayDisturbOne() ? lost : StoreAccess::Served;
         m_fleet.setAccess(index, m_access[index]);
@@ -96,11 +96,11 @@
     DiscoveryFleet &m_fleet;
     std::mt19937_64 m_random;
     std::vector<StoreAccess> m_access;
-    std::vector<bool> m_isCut;
-    std::vector<std::size_t> m_targets; // that don't leave yet
+    std::vector<bool> m_isDisconnected;
+    std::vector<std::size_t> m_targets; // that aren't leaving
 };
 
-// Plays a fleet whose disturbances are drawn from `seed`, and checks all the time what its users were promised.
+// Runs a fleet with the faults drawn from `seed`, and checks the users' guarantees throughout.
 void checkGuarantees(std::uint64_t seed)
 {
     constexpr int Rounds = 40;
@@ -142,7 +142,7 @@
     }
 }
 
-// Failure: a process that was suspended goes by its old list in an outage, though others have a newer one.
+// Failure: after a suspension, a process uses its old list during an outage though other processes have a newer one.
 TEST(DiscoveryFleet, processThatReconnectsDuringAnOutageLearnsWhichTargetsLeft)
 {
     constexpr Duration LearnedWithin = Millis(500);
@@ -152,7 +152,7 @@
         const std::size_t target = fleet.startTarget();
         fleet.changeConfiguration();
         fleet.run(Seconds(4));
-        fleet.setCut(Reader, true);
+        fleet.setDisconnected(Reader, true);
         fleet.setAccess(Reader, access);
         fleet.drainTarget(target);
         fleet.run(Seconds(2));
@@ -161,17 +161,17 @@
         }
         fleet.run(Millis(1'500));
         CHECK_FALSE(fleet.knowsTargetLeft(Reader, target));
-        fleet.setCut(Reader, false);
+        fleet.setDisconnected(Reader, false);
         fleet.run(LearnedWithin);
         CHECK_TRUE(fleet.knowsTargetLeft(Reader, target));
     }
 }
 
-// Failure: processes wait for others that give no answer, one after the other, before they ask a store that serves
-// them.
+// Failure: processes wait for several unresponsive processes, one after the other, before they query a store that
+// serves them.
 TEST(DiscoveryFleet, unresponsiveReaderDoesNotKeepOthersFromTheStore)
 {
-    constexpr Duration LearnedWithin = Millis(1'300); // half a second after the next regular read has begun
+    constexpr Duration LearnedWithin = Millis(1'300); // half a second after the next regular read has started
     constexpr Duration MaxPhase = Millis(800); // between two regular reads
     constexpr Duration PhaseStep = Millis(50);
     for (Duration phase {}; phase < MaxPhase; phase += PhaseStep) {
@@ -182,7 +182,7 @@
         const std::size_t target = fleet.startTarget();
         fleet.changeConfiguration();
         fleet.run(Seconds(4) + phase);
-        fleet.setCut(0, true);
+        fleet.setDisconnected(0, true);
         fleet.setAccess(1, StoreAccess::Unresponsive);
         fleet.drainTarget(target);
         fleet.run(LearnedWithin);
@@ -191,7 +191,7 @@
     }
 }
 
-// Guards against lists that are too old where no entry is served by the store.
+// Failure: lists are too old when the store serves no ingress proxy.
 TEST(DiscoveryFleet, listsAreKnownInTimeWhenNoIngressProxyIsServed)
 {
     for (const std::uint64_t seed : { 40, 50 }) {
--- a/src/net/fakekeyedstore.h
+++ b/src/net/fakekeyedstore.h
@@ -1,4 +1,4 @@
-// A keyed store in memory, for tests. Everything runs on the one thread that runs the io_context.
+// A keyed store in memory, for tests. Must be used on the one thread that runs the io_context.
 #pragma once
 
 #include <algorithm>
@@ -38,20 +38,20 @@
         return store;
     }
 
-    // Appends a record as operators and targets do; wakes reads that wait.
+    // Appends a record as operators and targets do, and wakes waiting reads.
     void put(KeyedTopic topic, const std::string &key, std::optional<std::string> value)
     {
         m_topics[topic].push_back({ key, std::move(value) });
         wake();
     }
 
-    // Forgets all but the newest record of each key.
+    // Drops all but the newest record of each key.
     void dropHistory(KeyedTopic topic)
     {
         m_first[topic] = m_topics[topic].size();
     }
 
-    // Ends the reads that wait.
+    // Ends the waiting reads.
     void wake()
     {
         for (Timer *waiting : m_waiting) {
@@ -59,11 +59,11 @@
         }
     }
 
-    bool away = false; // every call fails
-    bool newestIsSlow = false; // answers with the newest records come after wake()
-    int failuresLeft = 0; // so many calls fail
-    int lostAppends = 0; // so many appends are done and not answered
-    std::map<std::string, int> calls; // by name and topic, such as "read targets"
+    bool inOutage = false; // every call fails
+    bool newestIsSlow = false; // newest() responds only after wake()
+    int failuresLeft = 0; // how many calls fail
+    int lostAppends = 0; // how many appends take effect without a response
+    std::map<std::string, int> calls; // number of calls by name and topic, such as "read targets"
 
 private:
     template<typename T>
@@ -76,15 +76,15 @@
             --failuresLeft;
             return true;
         }
-        return away;
+        return inOutage;
     }
 
     static tl::unexpected<Error> unavailable()
     {
-        return failure(ErrorKind::PlatformUnavailable, "away");
+        return failure(ErrorKind::PlatformUnavailable, "outage");
     }
 
-    boost::asio::awaitable<void> untilWoken(Instant limit)
+    boost::asio::awaitable<void> waitForWake(Instant limit)
     {
         Timer ended(m_context, limit);
         m_waiting.insert(&ended);
@@ -99,9 +99,9 @@
             co_return unavailable();
         }
         if (from >= m_topics[topic].size() && wait.count() > 0) {
-            co_await untilWoken(Clock::now() + wait);
+            co_await waitForWake(Clock::now() + wait);
         }
-        if (away) {
+        if (inOutage) {
             co_return unavailable();
         }
         KeyedPage page;
@@ -121,7 +121,7 @@
             co_return unavailable();
         }
         if (newestIsSlow) {
-            co_await untilWoken(Instant::max());
+            co_await waitForWake(Instant::max());
         }
         std::map<std::string, KeyedRecord> byKey;
         for (const KeyedRecord &record : m_topics[topic]) {
@@ -143,7 +143,7 @@
             co_return unavailable();
         }
         if (expectedEnd && *expectedEnd != m_topics[topic].size()) {
-            co_return failure(ErrorKind::Conflict, "another came first");
+            co_return failure(ErrorKind::Conflict, "another append came first");
         }
         for (const KeyedRecord &record : records) {
             put(topic, record.key, record.value);
@@ -156,7 +156,7 @@
     }
 
     boost::asio::io_context &m_context;
-    std::set<Timer *> m_waiting; // of the reads that wait for a record
+    std::set<Timer *> m_waiting; // of the waiting reads
     std::map<KeyedTopic, std::vector<KeyedRecord>> m_topics;
     std::map<KeyedTopic, Offset> m_first;
 };
--- a/src/net/fleetregistry.cpp
+++ b/src/net/fleetregistry.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view SeedPrefix = "vm/";
 constexpr char DomainSeparator = ' ';
 
-// What the store's records say, and where they end.
+// The contents of the store's records and the offset at which they end.
 struct FleetRecords {
     FleetBootstrap bootstrap;
     Offset next = 0;
@@ -34,7 +34,7 @@
     return std::string(SeedPrefix) + vm.value();
 }
 
-// Its value is the address, a blank and the failure domain. Earlier versions wrote the address alone.
+// The value is the address, a blank and the failure domain. Earlier versions wrote only the address.
 KeyedRecord recordOf(const FleetSeed &seed)
 {
     return { seedRecord(seed.vm), toString(seed.peer) + DomainSeparator + seed.failureDomain.value() };
@@ -92,7 +92,7 @@
     co_return FleetRecords { bootstrapOf(page->records), page->next, page->historyExpired };
 }
 
-// Makes the key, unless another process came first.
+// Appends the key and the first seed, unless another process has appended first.
 asio::awaitable<Result<void>> createKey(KeyedStore store, std::string key, FleetSeed self, Offset end)
 {
     std::vector<KeyedRecord> records;
--- a/src/net/fleetregistrytest.cpp
+++ b/src/net/fleetregistrytest.cpp
@@ -21,7 +21,7 @@
     {
     }
 
-    // Lets a process join, with a key of its own at hand.
+    // Lets a process join that would create its own key.
     void join(const std::string &vm)
     {
         boost::asio::co_spawn(context, joinAs(vm), boost::asio::detached);
@@ -77,7 +77,7 @@
     STRCMP_EQUAL("10.0.0.1:7000", toString(registry.joined["10.0.0.2"].seeds.front().peer).c_str());
 }
 
-// Failure: two parts of a fleet don't talk to each other.
+// Failure: a fleet splits into two parts that don't communicate.
 TEST(FleetRegistry, processesThatStartTogetherAgreeOnOneKey)
 {
     RegistryFixture registry;
@@ -109,7 +109,7 @@
     CHECK_TRUE(registry.runUntilJoined(1));
 }
 
-// Failure: the more processes a fleet has, the more calls to the store a start of all of them costs, for each.
+// Failure: the store calls of each process at a fleet's start grow with the number of processes.
 TEST(FleetRegistry, firstStartOfManyCostsOneReadEachAndOneAppend)
 {
     constexpr int Processes = 64;
@@ -137,7 +137,7 @@
     CHECK_EQUAL(1, registry.store.calls.size());
 }
 
-// Failure: a process that was told of a first start never joins.
+// Failure: a process never joins when the platform wrongly reports a first start.
 TEST(FleetRegistry, wronglyAnnouncedFirstStartFindsTheKeyAfterItsHistoryExpired)
 {
     RegistryFixture registry;
--- a/src/net/largeconfigurationtest.cpp
+++ b/src/net/largeconfigurationtest.cpp
@@ -1,4 +1,4 @@
-// Failure: a gateway goes by an old configuration for more than ten seconds, while its link is full all the time.
+// Failure: a gateway uses an old configuration for more than ten seconds while its link is saturated.
 #include "mulberryplank/net/discoveryclient.h"
 
 #include <charconv>
@@ -17,18 +17,18 @@
 namespace
 {
 
-// A step stands for 10 ms of the incident, and takes a millisecond or more of the test. The followers' own intervals
-// are set to a tenth of what they are accordingly.
+// A step represents 10 ms of the incident, and takes a millisecond or more of the test. The clients' own intervals are
+// therefore set to a tenth of their usual values.
 constexpr int StepsPerSecond = 100;
 constexpr double NarrowBytesPerStep = 10e6 / 8 / StepsPerSecond;
 constexpr double WideBytesPerStep = 200e6 / 8 / StepsPerSecond;
-constexpr int ReaderLimit = 40; // steps for an answer of the reader
+constexpr int ReaderLimit = 40; // steps for a response of the reader
 constexpr int PeerLimit = 100; // for one of another process
-constexpr int CallLimit = 50; // for one of the store, besides what it waits
+constexpr int CallLimit = 50; // for one of the store, besides the time that it waits for records
 constexpr int StoreLimit = 150; // for the store's newest records
-constexpr double StoreEncodingOverhead = 4.0 / 3; // by which these grow on their way
+constexpr double StoreEncodingOverhead = 4.0 / 3; // factor by which the store's encoding enlarges these
 constexpr int GossipInterval = 50; // steps between two rounds of the members' gossip
-constexpr std::size_t LargeConfiguration = 1'100'000; // bytes; larger than the incident's, so that each try fails
+constexpr std::size_t LargeConfiguration = 1'100'000; // bytes; larger than the incident's, so that each attempt fails
 
 DiscoverySettings scaledSettings()
 {
@@ -49,7 +49,7 @@
     return table;
 }
 
-// Returns a configuration that can't be packed, and has nothing in common with one of another `content`.
+// Returns a configuration that can't be compressed, and shares nothing with one of another `content`.
 std::string configuration(std::uint64_t version, std::size_t size, std::uint64_t content)
 {
     std::mt19937_64 random(content);
@@ -60,7 +60,7 @@
     return bytes;
 }
 
-// One process behind a link of its own; others are reached through both links, of which the narrower one counts.
+// A process with its own link. Traffic between two processes uses both links; only the narrower one is modelled.
 class LinkedProcess
 {
 public:
@@ -119,11 +119,11 @@
     boost::asio::awaitable<Result<PeerUpdate>> query(PeerUpdateRequest request, LinkedProcess *other, int limit)
     {
         if (other == nullptr) {
-            co_return failure(ErrorKind::PeerLost, "nobody there");
+            co_return failure(ErrorKind::PeerLost, "no such process");
         }
         PeerUpdate update = other->client->respondToPeer(request);
         if (!co_await link.send(encode(update).size(), limit)) {
-            co_return failure(ErrorKind::PeerLost, "answer is incomplete");
+            co_return failure(ErrorKind::PeerLost, "response is incomplete");
         }
         co_return update;
     }
@@ -140,7 +140,7 @@
         return access;
     }
 
-    // The time that a read waits counts for its limit.
+    // The time that a read waits for records counts towards its limit.
     boost::asio::awaitable<Result<KeyedPage>> read(KeyedTopic topic, Offset from, Millis wait)
     {
         Result<KeyedPage> page = co_await m_shared.access().read(topic, from, wait);
@@ -150,7 +150,7 @@
         }
         const int limit = CallLimit + static_cast<int>(wait.count()) * StepsPerSecond / 1'000;
         if (!co_await link.send(bytes, limit)) {
-            co_return failure(ErrorKind::PlatformUnavailable, "no answer");
+            co_return failure(ErrorKind::PlatformUnavailable, "no response");
         }
         co_return page;
     }
@@ -163,7 +163,7 @@
             bytes += StoreEncodingOverhead * static_cast<double>(record.value->size());
         }
         if (!co_await link.send(static_cast<std::size_t>(bytes), StoreLimit)) {
-            co_return failure(ErrorKind::PlatformUnavailable, "no answer");
+            co_return failure(ErrorKind::PlatformUnavailable, "no response");
         }
         co_return snapshot;
     }
@@ -172,7 +172,7 @@
     FakeKeyedStore &m_shared;
 };
 
-// A process that reads the store over a wide link, and one behind a narrow link that it reads for.
+// A process that reads the store over a wide link, and one behind a narrow link for which it is the designated reader.
 class ReaderAndFollower
 {
 public:
@@ -192,7 +192,7 @@
         boost::asio::co_spawn(context.get_executor(), ensureTargets(), boost::asio::detached);
     }
 
-    // Lets time pass until `done`, but for so many steps at maxSteps; returns how many it took.
+    // Lets time pass until `done` or for `maxSteps`. Returns the number of steps taken.
     int stepUntil(int maxSteps, const std::function<bool()> &done)
     {
         int steps = 0;
@@ -228,7 +228,7 @@
 TEST(LargeConfiguration, isInForceInTimeBehindANarrowLink)
 {
     ReaderAndFollower fleet;
-    // The narrow one has had update of its reader before.
+    // The narrow process has received an update from its reader before.
     fleet.narrow.client->noteRemoteUpdate();
     fleet.stepUntil(StepsPerSecond, [] {
         return false;
@@ -245,7 +245,7 @@
     CHECK_TRUE(steps < Bound);
 }
 
-// Failure: while the configuration changes again and again, none of the versions comes in force for as long as it does.
+// Failure: while the configuration changes repeatedly, no version is put in force.
 TEST(LargeConfiguration, changesInQuickSuccessionAreInForceInTime)
 {
     ReaderAndFollower fleet;
@@ -256,7 +256,7 @@
     });
     constexpr int BetweenChanges = StepsPerSecond * 3 / 10;
     constexpr int Bound = StepsPerSecond * 5 / 2;
-    int behind = 0; // steps since the narrow one went by the newest version
+    int behind = 0; // steps since the narrow process last had the newest version in force
     for (std::uint64_t version = 3; version < 20; ++version) {
         fleet.store.put(KeyedTopic::Configuration, "config", configuration(version, LargeConfiguration, 2));
         fleet.stepUntil(BetweenChanges, [&fleet, version] {
--- a/src/net/logclient.cpp
+++ b/src/net/logclient.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t MaxIdle = 4;
 constexpr std::uint64_t MaxResponseSize = 128ULL * 1'024 * 1'024;
 
-// The platform may close an idle connection at any time. One that was used just now is likely still open.
+// The platform may close an idle connection at any time. One that was used recently is likely still open.
 constexpr Duration MaxIdleTime = Seconds(5);
 
 constexpr unsigned StatusOk = 200;
@@ -37,7 +37,7 @@
     boost::system::error_code error;
     json::value value = json::parse(body, error);
     if (error || !value.is_object()) {
-        return unavailable("an answer that isn't JSON");
+        return unavailable("the response isn't JSON");
     }
     return value;
 }
@@ -54,7 +54,7 @@
     return page;
 }
 
-// Returns what `read` makes of the response, or PlatformUnavailable when a field is missing or of another type.
+// Returns the response as decoded by `read`, or PlatformUnavailable when a field is missing or of another type.
 template<typename T>
 Result<T> decodeResponse(const std::string &body, T (*read)(const json::value &))
 {
@@ -65,7 +65,7 @@
     try {
         return read(*value);
     } catch (const std::exception &error) {
-        return unavailable(std::string("an answer without the fields expected: ") + error.what());
+        return unavailable(std::string("the response lacks an expected field: ") + error.what());
     }
 }
 
@@ -138,8 +138,8 @@
     return nullptr;
 }
 
-// Sends the request over an idle connection or a new one. Nothing is sent twice: whether a lost append is appended
-// again is for the caller to decide, who knows that it is idempotent.
+// Sends the request over an idle connection or a new one. Nothing is sent twice: only the caller knows whether
+// repeating a lost append is idempotent.
 asio::awaitable<Result<std::string>> LogClient::exchange(Request request, Duration limit)
 {
     std::unique_ptr<Connection> connection = popIdle();
@@ -148,7 +148,7 @@
         boost::system::error_code error;
         const auto address = asio::ip::make_address(m_service.host, error);
         if (error) {
-            co_return internal::unavailable("not an IP number: " + m_service.host);
+            co_return internal::unavailable("not an IP address: " + m_service.host);
         }
         connection->stream.expires_after(m_timeout);
         co_await connection->stream.async_connect(asio::ip::tcp::endpoint(address, m_service.port),
@@ -183,7 +183,7 @@
     co_await http::async_read(
         connection.stream, connection.buffer, parser, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-        co_return internal::unavailable("no answer: " + error.message());
+        co_return internal::unavailable("no response: " + error.message());
     }
     connection.reusable = parser.keep_alive();
     if (parser.get().result_int() != internal::StatusOk) {
--- a/src/net/logclienttest.cpp
+++ b/src/net/logclienttest.cpp
@@ -67,8 +67,8 @@
     });
 }
 
-// The platform is away, then its answer to an append is lost after the write took effect.
-TEST(LogClient, outageAndLostAnswerAreUnavailable)
+// The platform has an outage. Later its response to an append is lost after the append took effect.
+TEST(LogClient, outageAndLostResponseAreUnavailable)
 {
     run([this]() -> asio::awaitable<void> {
         co_await setFaults(R"({"outage":true})");
--- a/src/net/narrowlink.h
+++ b/src/net/narrowlink.h
@@ -1,4 +1,4 @@
-// A VM's link in a model of time, for tests: bytes on their way share it, and each transfer has a limit.
+// A model of a VM's link, for tests. Concurrent transfers share its bandwidth, and each has a time limit.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace mulberryplank
 {
 
-// Time passes by step() alone. Used by the thread that runs the io_context.
+// Time passes by step() alone. Must be used on the thread that runs the io_context.
 class NarrowLink
 {
 public:
@@ -28,7 +28,7 @@
     NarrowLink(const NarrowLink &) = delete;
     NarrowLink &operator=(const NarrowLink &) = delete;
 
-    // Carries so many bytes. Returns false if they haven't all arrived after `maxSteps`.
+    // Transfers `bytes`. Returns false if they haven't all arrived after `maxSteps`.
     boost::asio::awaitable<bool> send(std::size_t bytes, int maxSteps)
     {
         const auto transfer = m_transfers.emplace(m_transfers.end(), m_context, static_cast<double>(bytes), maxSteps);
@@ -39,7 +39,7 @@
         co_return arrived;
     }
 
-    // Lets one step pass.
+    // Advances time by one step.
     void step()
     {
         const auto isInProgress = [](const Transfer &transfer) {
--- a/src/net/rununtil.h
+++ b/src/net/rununtil.h
@@ -1,4 +1,4 @@
-// Runs an io_context in tests of what it carries.
+// Runs an io_context in tests.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,8 @@
 namespace mulberryplank
 {
 
-// Runs until `done`; returns false when that does not come about within a time that only bounds how long a broken test
-// can hang.
+// Runs until `done` returns true. Returns false if it doesn't within a time limit, which only bounds how long a failing
+// test can hang.
 inline bool runUntil(boost::asio::io_context &context, const std::function<bool()> &done)
 {
     constexpr Seconds WaitLimit { 20 };
--- a/src/net/seedpublisher.cpp
+++ b/src/net/seedpublisher.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-// Newcomers find the other seeds meanwhile, and calls are billed, failed ones as well.
+// New processes find the other seeds meanwhile, and every call is billed, even a failed one.
 constexpr Duration RegistrationRetryInterval = Seconds(5);
 
 } // namespace
@@ -95,8 +95,8 @@
     }
 }
 
-// What goes wrong without this: the seeds that this process has read at its start are removed, others have taken their
-// places since, and it serves with what it knows alone.
+// Without this, a process whose initial seeds have all stopped and been replaced would stay isolated and serve with
+// only its own knowledge.
 asio::awaitable<void> SeedPublisher::refreshSeeds()
 {
     const Result<FleetBootstrap> bootstrap = co_await readFleet(m_store);
--- a/src/net/seedpublishertest.cpp
+++ b/src/net/seedpublishertest.cpp
@@ -18,7 +18,7 @@
     return { VmName(vm), { vm, 7'000 }, FailureDomain("hall") };
 }
 
-// One process with its members, on a fake store in which others are registered.
+// A process with its members, on a fake store in which others are registered.
 class PublisherFixture
 {
 public:
@@ -64,7 +64,7 @@
         publisher->start(std::move(seeds));
     }
 
-    // Runs until the members were looked at so many more times.
+    // Runs until the members have been read this many more times.
     void runUntilMemberReads(int times)
     {
         const int until = memberReads + times;
@@ -130,7 +130,7 @@
     CHECK_EQUAL(1, fixture.appends());
 }
 
-// Failure: a restarted process serves for ever with what it knows alone.
+// Failure: a restarted process stays isolated and serves forever with only its own knowledge.
 TEST(SeedPublisher, isolatedProcessReadsTheSeedsAgain)
 {
     PublisherFixture fixture;
@@ -150,12 +150,12 @@
     CHECK_EQUAL(0, fixture.store.calls.size());
 }
 
-// Failure: a store that comes back is met by a call a second from each seed.
+// Failure: after its recovery, a store gets a call each second from each seed.
 TEST(SeedPublisher, failedRegistrationIsNotRetriedAtEachCheck)
 {
     PublisherFixture fixture;
     fixture.members.push_back(PublisherFixture::member("other", 2));
-    fixture.store.away = true;
+    fixture.store.inOutage = true;
     fixture.start({ "other" });
     fixture.runUntilMemberReads(20);
     CHECK_EQUAL(1, fixture.appends());
--- a/src/net/staggered.cpp
+++ b/src/net/staggered.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-// What the steps of one run share.
+// The state that the steps of one run share.
 struct Race {
     explicit Race(asio::io_context &context)
         : changed(context)
@@ -32,7 +32,7 @@
     Timer changed; // cancelled when a step ends
 };
 
-// The step is kept here until its coroutine has ended.
+// Runs one step, which is kept here until its coroutine has ended.
 asio::awaitable<void> runStep(std::shared_ptr<Race> race, StaggeredStep step, std::shared_ptr<bool> hasEnded)
 {
     const bool succeeded = co_await step();
@@ -42,7 +42,7 @@
     race->changed.cancel();
 }
 
-// Waits until the race is won, `isFinished` says so, or `limit` has come.
+// Waits until a step has succeeded, `isFinished` returns true, or `limit` has passed.
 asio::awaitable<void> awaitRace(std::shared_ptr<Race> race, std::function<bool()> isFinished, Instant limit)
 {
     boost::system::error_code ignored;
--- a/src/net/staggeredtest.cpp
+++ b/src/net/staggeredtest.cpp
@@ -14,7 +14,7 @@
 
 TEST_GROUP(Staggered)
 {
-    // Returns a step that takes this long; `started` counts it.
+    // Returns a step that takes `span` and then returns `succeeded`. `started` counts the steps that ran.
     StaggeredStep step(Duration span, bool succeeded)
     {
         return [this, span, succeeded]() -> boost::asio::awaitable<bool> {
--- a/src/net/updatemessagestest.cpp
+++ b/src/net/updatemessagestest.cpp
@@ -78,7 +78,7 @@
     CHECK_FALSE(decodePeerUpdateRequest(std::string_view(bytes).substr(0, bytes.size() - 1)).has_value());
 }
 
-// Before targets were told by a hash, a report took 54 bytes with names of the usual length.
+// With a target's name instead of its hash, a report took 54 bytes with names of the usual length.
 TEST(UpdateMessages, aReportTakesFifteenBytes)
 {
     const std::vector<AttemptReport> one(1);
--- a/tests/discoveryfleet.h
+++ b/tests/discoveryfleet.h
@@ -1,5 +1,5 @@
-// A fleet of update followers before one store, on virtual time, for tests: processes die and start again, are turned
-// away by the store or cut off from each other, and messages are lost.
+// A fleet of discovery clients with one store, on virtual time, for tests. Processes crash and restart, are rejected by
+// the store or disconnected from each other, and messages are lost.
 #pragma once
 
 #include <algorithm>
@@ -26,14 +26,14 @@
 enum class StoreAccess {
     Served,
     Refused, // calls fail at once
-    Unresponsive, // calls end without an answer when their time is up
+    Unresponsive, // calls end at their timeout without a response
 };
 
-// How a fleet is played.
+// The parameters of a fleet.
 struct DiscoveryFleetPlan {
     std::size_t domains = 3;
     std::size_t perDomain = 4; // processes
-    double hintLossRate = 0.05; // share of the datagrams
+    double hintLossRate = 0.05; // share of lost datagrams
     std::uint64_t seed = 1;
 };
 
@@ -64,7 +64,7 @@
         }
     }
 
-    // The operators change the configuration; the store has confirmed it.
+    // Changes the configuration as operators do, with the store's confirmation.
     void changeConfiguration()
     {
         ++m_version;
@@ -72,27 +72,27 @@
         m_store.put(KeyedTopic::Configuration, "config", std::to_string(m_version));
     }
 
-    // A target starts; returns its number.
+    // Starts a target and returns its number.
     std::size_t startTarget()
     {
         putTarget(++m_targetsStarted);
         return m_targetsStarted;
     }
 
-    // A target that runs says so again.
+    // Writes another heartbeat of a running target.
     void renewTarget(std::size_t target)
     {
         putTarget(target);
     }
 
-    // A target says that it leaves; the store has confirmed it.
+    // Makes a target announce that it leaves, with the store's confirmation.
     void drainTarget(std::size_t target)
     {
         m_leftAt.emplace(target, Clock::now());
         putTarget(target);
     }
 
-    // The process dies, and another one starts in its place.
+    // Stops the process and starts another one in its place.
     void restartProcess(std::size_t index)
     {
         m_processes[index]->lifetime->alive = false;
@@ -105,10 +105,10 @@
         m_processes[index]->access = access;
     }
 
-    // Cuts a process off from all others, or ends that.
-    void setCut(std::size_t index, bool isCut)
+    // Disconnects a process from all others, or reconnects it.
+    void setDisconnected(std::size_t index, bool isDisconnected)
     {
-        m_processes[index]->isCut = isCut;
+        m_processes[index]->isDisconnected = isDisconnected;
         m_processes[index]->disturbedAt = Clock::now();
     }
 
@@ -117,8 +117,8 @@
         return m_processes.size();
     }
 
-    // Returns how many processes go by a configuration although a newer one was confirmed longer than `bound` ago.
-    // Only processes that run and weren't cut off for a while count.
+    // Returns how many processes use a configuration although a newer one was confirmed longer than `bound` ago. Counts
+    // only processes that have run and been connected for ConnectedAfter.
     std::size_t behind(Duration bound) const
     {
         const Instant now = Clock::now();
@@ -131,7 +131,7 @@
         });
     }
 
-    // Returns how many of them would send a request to a target that left longer than `bound` ago.
+    // Returns how many of these processes would send a request to a target that left longer than `bound` ago.
     std::size_t sendingToLeftTargets(Duration bound) const
     {
         const Instant now = Clock::now();
@@ -144,7 +144,7 @@
         });
     }
 
-    // Says whether a process knows that a target leaves.
+    // Returns whether a process knows that a target is leaving.
     bool knowsTargetLeft(std::size_t index, std::size_t target) const
     {
         const auto &listed = m_processes[index]->client->directory().targets();
@@ -152,7 +152,7 @@
         return found != listed.end() && found->second.target.draining;
     }
 
-    // Says whether a process has gone back to an older configuration.
+    // Returns whether a process has returned to an older configuration.
     bool hasRegressed() const
     {
         return m_hasRegressed;
@@ -165,16 +165,17 @@
     static constexpr Duration ReaderLimit = Millis(400);
     static constexpr Duration PeerLimit = Millis(500);
     static constexpr Duration ListLimit = Millis(400);
-    static constexpr Duration ReadLimit = Millis(500); // for an answer of the store to begin
+    static constexpr Duration ReadLimit = Millis(500); // for a response of the store to begin
     static constexpr Duration NewestLimit = Millis(1'500); // the same for the newest records
     static constexpr Duration KeepaliveLimit = Seconds(3);
-    static constexpr Duration DeadAfter = Seconds(3); // others take a dead or cut process for alive for so long
-    static constexpr Duration ConnectedAfter = Seconds(3); // from a start or the end of a cut
+    // Until other processes detect that a process crashed or is disconnected.
+    static constexpr Duration DeadAfter = Seconds(3);
+    static constexpr Duration ConnectedAfter = Seconds(3); // since a start or a reconnection
     static constexpr std::size_t ConfigurationReaders = 2; // of each failure domain
     static constexpr Duration GossipInterval = Millis(500);
     static constexpr Duration RequestInterval = Millis(100);
 
-    // One start of a process: what it began before its end has no effect any more.
+    // One run of a process. What it started has no effect after its end.
     struct Lifetime {
         bool alive = true;
     };
@@ -183,10 +184,10 @@
         std::unique_ptr<DiscoveryClient> client;
         StoreAccess access = StoreAccess::Served;
         UnhelpfulPeers unresponsivePeers { Seconds(2) };
-        UnhelpfulPeers withoutList { Millis(500) };
-        bool isCut = false;
-        Instant disturbedAt {}; // its start, or the begin or end of a cut
-        std::uint64_t gossipedVersion = 0; // the configuration that the others know it to have
+        UnhelpfulPeers peersWithoutList { Millis(500) };
+        bool isDisconnected = false;
+        Instant disturbedAt {}; // its start, or its last disconnection or reconnection
+        std::uint64_t gossipedVersion = 0; // the configuration that the other processes know it to have
         Instant nextGossip {};
         Instant nextRequest {};
     };
@@ -206,7 +207,7 @@
     {
         const Instant now = Clock::now();
         const auto found = std::count_if(m_processes.begin(), m_processes.end(), [&](const auto &process) {
-            const bool isConnected = !process->isCut && now - process->disturbedAt > ConnectedAfter;
+            const bool isConnected = !process->isDisconnected && now - process->disturbedAt > ConnectedAfter;
             return isConnected && counts(*process);
         });
         return static_cast<std::size_t>(found);
@@ -223,32 +224,33 @@
         return index / m_plan.perDomain;
     }
 
-    // Returns whether the others take a process for alive.
-    bool seemsAlive(std::size_t index) const
+    // Returns whether the other processes consider a process alive.
+    bool consideredAlive(std::size_t index) const
     {
         const Process &process = *m_processes[index];
-        return !process.isCut || Clock::now() - process.disturbedAt < DeadAfter;
+        return !process.isDisconnected || Clock::now() - process.disturbedAt < DeadAfter;
     }
 
-    // Returns who reads the store for a process, as this one sees it: who is cut off takes the others for dead in time.
+    // Returns the designated reader of a process in its own view. A disconnected process considers the others dead
+    // after a while.
     std::size_t readerOf(std::size_t index) const
     {
-        if (!seemsAlive(index)) {
+        if (!consideredAlive(index)) {
             return index;
         }
         std::size_t reader = domainOf(index) * m_plan.perDomain;
-        while (reader != index && !seemsAlive(reader)) {
+        while (reader != index && !consideredAlive(reader)) {
             ++reader;
         }
         return reader;
     }
 
-    // Says whether a process is among the first two of its failure domain.
+    // Returns whether a process is among the first two of its failure domain.
     bool readsConfiguration(std::size_t index) const
     {
         std::size_t before = 0;
         for (std::size_t other = domainOf(index) * m_plan.perDomain; other < index; ++other) {
-            before += seemsAlive(other) && seemsAlive(index) ? 1 : 0;
+            before += consideredAlive(other) && consideredAlive(index) ? 1 : 0;
         }
         return before < ConfigurationReaders;
     }
@@ -260,7 +262,7 @@
 
     bool areConnected(std::size_t one, std::size_t other) const
     {
-        return !m_processes[one]->isCut && !m_processes[other]->isCut;
+        return !m_processes[one]->isDisconnected && !m_processes[other]->isDisconnected;
     }
 
     void runProcesses()
@@ -279,11 +281,11 @@
         }
     }
 
-    // Tells a process what the members' gossip has brought, and the others what it has.
+    // Delivers the gossiped versions to a process, and publishes its own version to the others.
     void gossip(std::size_t index)
     {
         Process &process = *m_processes[index];
-        if (process.isCut) {
+        if (process.isDisconnected) {
             return;
         }
         process.gossipedVersion = versionOf(process);
@@ -294,7 +296,7 @@
         process.client->noteRemoteVersion(newest);
     }
 
-    // Returns the others as a process knows them.
+    // Returns the other members in a process's view.
     std::vector<Member> membersFor(std::size_t index) const
     {
         std::vector<Member> members;
@@ -302,13 +304,13 @@
             Member member;
             member.incarnation = other + 1;
             member.applied = m_processes[other]->gossipedVersion;
-            member.status = seemsAlive(index) && seemsAlive(other) ? MemberStatus::Alive : MemberStatus::Dead;
+            member.status = consideredAlive(index) && consideredAlive(other) ? MemberStatus::Alive : MemberStatus::Dead;
             members.push_back(member);
         }
         return members;
     }
 
-    // Returns the processes that callers are named: the first of each failure domain.
+    // Returns the ingress proxies: the first of each failure domain.
     std::vector<Member> ingressMembersFor(std::size_t index) const
     {
         std::vector<Member> members = membersFor(index);
@@ -326,7 +328,7 @@
         return ingressMembers;
     }
 
-    // Returns whom a process asks for update, itself if nobody.
+    // Returns the process to query for an update, or the querying process itself if there is none.
     std::size_t peerFor(std::size_t index, const PeerUpdateRequest &request)
     {
         const Process &process = *m_processes[index];
@@ -335,7 +337,7 @@
         const std::vector<Member> ingressMembers = ingressMembersFor(index);
         std::optional<Member> chosen;
         if (request.wantsTargets) {
-            chosen = choosePeerForList(ingressMembers, members, index + 1, process.withoutList, now, m_random);
+            chosen = choosePeerForList(ingressMembers, members, index + 1, process.peersWithoutList, now, m_random);
         } else {
             const std::vector<Member> &candidates = drawEvent(0.5) ? members : ingressMembers;
             chosen =
@@ -350,7 +352,7 @@
         const Result<PeerUpdate> update =
             co_await query(index, peer, request, request.wantsTargets ? ListLimit : PeerLimit);
         if (request.wantsTargets && update && !update->upToDate && !readsFirstList(*update)) {
-            m_processes[index]->withoutList.note(peer + 1, Clock::now());
+            m_processes[index]->peersWithoutList.note(peer + 1, Clock::now());
         }
         co_return update;
     }
@@ -364,7 +366,7 @@
         boost::asio::co_spawn(m_context.get_executor(), query, boost::asio::detached);
     }
 
-    // Tells the processes of the same failure domain that there are update.
+    // Sends a hint of an update to the processes of the same failure domain.
     void notifyDomain(std::size_t index, std::uint64_t version)
     {
         const std::size_t begin = domainOf(index) * m_plan.perDomain;
@@ -381,13 +383,13 @@
                                                      Duration limit)
     {
         if (from == to) {
-            co_return failure(ErrorKind::PeerLost, "nobody to ask");
+            co_return failure(ErrorKind::PeerLost, "no process to query");
         }
         if (!areConnected(from, to)) {
             co_await sleepFor(m_context, limit);
             m_processes[from]->unresponsivePeers.note(to + 1, Clock::now());
-            m_processes[from]->withoutList.note(to + 1, Clock::now());
-            co_return failure(ErrorKind::PeerLost, "no answer");
+            m_processes[from]->peersWithoutList.note(to + 1, Clock::now());
+            co_return failure(ErrorKind::PeerLost, "no response");
         }
         co_await sleepFor(m_context, PeerDelay);
         PeerUpdate update = m_processes[to]->client->respondToPeer(request);
@@ -413,7 +415,7 @@
         return lifetime.alive ? m_processes[index]->access : StoreAccess::Refused;
     }
 
-    // A connection that goes silent while the call waits for records is noticed by its keepalive probes.
+    // A connection that becomes unresponsive while the call waits for records is detected by its keepalive probes.
     boost::asio::awaitable<Result<KeyedPage>> read(
         std::size_t index, const Lifetime &lifetime, KeyedTopic topic, Offset from, Millis wait)
     {
@@ -432,7 +434,7 @@
             }
             co_await sleepFor(m_context, StoreDelay);
         }
-        co_return failure(ErrorKind::PlatformUnavailable, "turned away");
+        co_return failure(ErrorKind::PlatformUnavailable, "rejected by the store");
     }
 
     boost::asio::awaitable<Result<KeyedSnapshot>> newest(std::size_t index, const Lifetime &lifetime, KeyedTopic topic)
@@ -440,7 +442,7 @@
         const bool isUnresponsive = accessOf(index, lifetime) == StoreAccess::Unresponsive;
         co_await sleepFor(m_context, isUnresponsive ? NewestLimit : StoreDelay);
         if (isUnresponsive || accessOf(index, lifetime) != StoreAccess::Served) {
-            co_return failure(ErrorKind::PlatformUnavailable, "turned away");
+            co_return failure(ErrorKind::PlatformUnavailable, "rejected by the store");
         }
         co_return co_await m_store.access().newest(topic);
     }
@@ -526,10 +528,10 @@
     boost::asio::io_context m_context;
     FakeKeyedStore m_store;
     DiscoverySettings m_settings;
-    std::vector<std::unique_ptr<DiscoveryClient>> m_retired; // their coroutines refer to them
+    std::vector<std::unique_ptr<DiscoveryClient>> m_retired; // kept because their coroutines refer to them
     std::vector<std::unique_ptr<Process>> m_processes;
     std::vector<std::pair<Instant, std::uint64_t>> m_confirmed;
-    std::map<std::size_t, Instant> m_leftAt; // of targets that drain
+    std::map<std::size_t, Instant> m_leftAt; // of draining targets
     std::uint64_t m_version = 0;
     std::uint64_t m_sequence = 0;
     std::size_t m_targetsStarted = 0;
