--- a/include/mulberryplank/net/discoveryclient.h
+++ b/include/mulberryplank/net/discoveryclient.h
@@ -159,7 +159,7 @@
     bool applyPeerUpdate(const PeerUpdate &update);
     std::optional<bool> applyList(const PeerUpdate &update, Instant now);
     void addList(const PeerUpdateRequest &request, PeerUpdate &update);
-    const std::string &packedList();
+    const std::string &compressedList();
     PeerUpdateRequest configurationRequest() const;
     PeerUpdateRequest targetsRequest() const;
     DataAwaitable<void> waitUntil(std::function<bool()> done, Instant limit);
@@ -203,8 +203,8 @@
     Instant m_targetsReadAt {}; // from the store, by this process or another one
     std::uint64_t m_listOwner = 0; // the process that provided the list, which may be this one
     std::uint64_t m_listVersion = 0;
-    std::string m_packedList; // for processes that need all of it
-    std::uint64_t m_packedVersion = 0; // in terms of TargetDirectory::changes()
+    std::string m_compressedList; // for processes that need all of it
+    std::uint64_t m_compressedVersion = 0; // in terms of TargetDirectory::changes()
     std::uint64_t m_targetReads = 0;
     Instant m_lastNeededAt {};
     StoreRetry m_storeRetry;
--- a/include/mulberryplank/net/seedpublisher.h
+++ b/include/mulberryplank/net/seedpublisher.h
@@ -17,7 +17,7 @@
     // only if all of them have stopped at once; the processes that replace them then find it.
     std::size_t seedsPerDomain = 3;
     Duration interval = Seconds(1); // between two checks of the members
-    // After the start, until enough members are discovered for a process to register itself.
+    // From the start until most members are known. Before that, no process registers itself.
     Duration settleTime = Seconds(4);
     Duration isolationTimeout = Seconds(2); // without other members, before the seeds are read again; doubles each time
     Duration maxIsolationTimeout = Seconds(30);
--- a/include/mulberryplank/net/updatemessages.h
+++ b/include/mulberryplank/net/updatemessages.h
@@ -28,7 +28,7 @@
 // The response to a PeerUpdateRequest. Fields describe the responding process.
 struct PeerUpdate {
     std::uint64_t version = 0; // of the configuration in force; 0: none
-    ConfigurationPiece configuration; // of its packed bytes, as stored
+    ConfigurationPiece configuration; // of its compressed bytes, as stored
     bool storeResponds = true; // the store serves the responding process, which will get new records
     bool hasTargets = false; // a list is included: it is up to date, or further on than the requester's
     bool upToDate = false; // whether that list is up to date
@@ -37,10 +37,10 @@
     std::uint64_t listOwner = 0;
     std::uint64_t listVersion = 0;
     bool unchanged = false; // the requester has this list already, so it isn't sent again
-    // The difference from the requester's list, or else the whole list, compressed by packTargets().
+    // The difference from the requester's list, or else the whole list, compressed by compressTargets().
     std::vector<AnnouncedTarget> changed;
     std::vector<TargetName> removed;
-    std::string packedTargets; // empty: only the difference is sent
+    std::string compressedTargets; // empty: only the difference is sent
 };
 
 // Returns whether the responding process has had no list of targets so far and is reading one from the store.
@@ -71,8 +71,8 @@
 AttemptReport attemptReport(const TargetName &target, AttemptResult result, double logRatio, Duration age);
 
 // Compress and decompress a list of targets. Errors: BadConfiguration, BadRequest.
-std::string packTargets(const std::vector<AnnouncedTarget> &targets);
-Result<std::vector<AnnouncedTarget>> unpackTargets(std::string_view packed);
+std::string compressTargets(const std::vector<AnnouncedTarget> &targets);
+Result<std::vector<AnnouncedTarget>> decompressTargets(std::string_view compressed);
 
 std::string encode(const PeerUpdateRequest &request);
 std::string encode(const PeerUpdate &update);
--- a/src/net/discoveryclientpeers.cpp
+++ b/src/net/discoveryclientpeers.cpp
@@ -66,14 +66,14 @@
 
 void DiscoveryClient::applyPiece(const ConfigurationPiece &piece)
 {
-    const std::optional<std::string> packed = m_transfer.take(piece);
+    const std::optional<std::string> compressed = m_transfer.take(piece);
     // The piece can't be decompressed if its base isn't the configuration in force: that has changed during the
     // transfer.
-    if (!packed || (piece.base != 0 && piece.base != m_offer.digest())) {
+    if (!compressed || (piece.base != 0 && piece.base != m_offer.digest())) {
         return;
     }
     const std::string_view base = piece.base == 0 ? std::string_view() : m_offer.bytes();
-    const Result<std::string> bytes = unpack(*packed, base);
+    const Result<std::string> bytes = unpack(*compressed, base);
     if (!bytes) {
         // The copy in the store may still be readable.
         noteUnreadable(KeyedTopic::Configuration, bytes.error().detail);
@@ -113,8 +113,8 @@
 // Returns whether the list differs from the previous one, or nothing if it can't be decoded.
 std::optional<bool> DiscoveryClient::applyList(const PeerUpdate &update, Instant now)
 {
-    if (!update.packedTargets.empty()) {
-        const Result<std::vector<AnnouncedTarget>> targets = unpackTargets(update.packedTargets);
+    if (!update.compressedTargets.empty()) {
+        const Result<std::vector<AnnouncedTarget>> targets = decompressTargets(update.compressedTargets);
         if (!targets) {
             noteUnreadable(KeyedTopic::Targets, targets.error().detail);
             return std::nullopt;
@@ -171,7 +171,7 @@
     const bool followsOwnList = m_listOwner == m_self && request.listOwner == m_self;
     const auto changed = followsOwnList ? m_directory.changedSince(request.listVersion) : std::nullopt;
     if (!changed) {
-        update.packedTargets = packedList();
+        update.compressedTargets = compressedList();
         return;
     }
     for (const TargetName &id : *changed) {
@@ -186,19 +186,19 @@
 }
 
 // Returns the compressed list, which is cached for all requesters.
-const std::string &DiscoveryClient::packedList()
+const std::string &DiscoveryClient::compressedList()
 {
-    if (m_packedList.empty() || m_packedVersion != m_directory.changes()) {
+    if (m_compressedList.empty() || m_compressedVersion != m_directory.changes()) {
         std::vector<AnnouncedTarget> targets;
         for (const auto &[id, listed] : m_directory.targets()) {
             if (!listed.removedAt) {
                 targets.push_back(listed.target);
             }
         }
-        m_packedList = packTargets(targets);
-        m_packedVersion = m_directory.changes();
+        m_compressedList = compressTargets(targets);
+        m_compressedVersion = m_directory.changes();
     }
-    return m_packedList;
+    return m_compressedList;
 }
 
 } // namespace mulberryplank
--- a/src/net/discoveryclienttest.cpp
+++ b/src/net/discoveryclienttest.cpp
@@ -480,7 +480,7 @@
     std::size_t lists = 0;
     std::size_t changes = 0;
     fixture.alterUpdate = [&](const PeerUpdate &update) {
-        lists += update.packedTargets.empty() ? 0 : 1;
+        lists += update.compressedTargets.empty() ? 0 : 1;
         changes += update.changed.size() + update.removed.size();
     };
     fixture.start();
@@ -649,7 +649,7 @@
 
 TEST(DiscoveryClient, storeIsReadWhenTheReaderHasNoList)
 {
-    ClientFixture readerFixture; // has started without readerFixture anything
+    ClientFixture readerFixture; // has started but has no list
     readerFixture.store.inOutage = true;
     readerFixture.start();
     ClientFixture fixture;
--- a/src/net/updatemessages.cpp
+++ b/src/net/updatemessages.cpp
@@ -87,7 +87,7 @@
             update.targetsNext,
             update.listOwner,
             update.listVersion);
-    archive(update.unchanged, update.changed, update.removed, update.packedTargets);
+    archive(update.unchanged, update.changed, update.removed, update.compressedTargets);
 }
 
 template<typename Archive>
@@ -118,14 +118,14 @@
     return report;
 }
 
-std::string packTargets(const std::vector<AnnouncedTarget> &targets)
+std::string compressTargets(const std::vector<AnnouncedTarget> &targets)
 {
     return pack(cerealEncode(targets), {});
 }
 
-Result<std::vector<AnnouncedTarget>> unpackTargets(std::string_view packed)
+Result<std::vector<AnnouncedTarget>> decompressTargets(std::string_view compressed)
 {
-    const Result<std::string> bytes = unpack(packed, {});
+    const Result<std::string> bytes = unpack(compressed, {});
     if (!bytes) {
         return tl::make_unexpected(bytes.error());
     }
