--- a/src/net/configsynclog.cpp
+++ b/src/net/configsynclog.cpp
@@ -114,11 +114,11 @@
     m_lastVerified = m_clock();
     m_firstLogEnd = m_firstLogEnd.value_or(m_logExtent.next);
     noteNewest(m_logExtent.next);
-    ConfigUpdate update { position.applied, position.last, {} };
-    for (LogRecord &record : judgement.update) {
-        update.records.push_back(std::move(record.data));
+    ConfigUpdate news { position.applied, position.last, {} };
+    for (LogRecord &record : judgement.news) {
+        news.records.push_back(std::move(record.data));
     }
-    applyUpdate(update, "log");
+    applyUpdate(news, "log");
     noteProgress();
     // An empty log means an empty table only if no other proxy is known to have more.
     if (m_newest == 0 && m_snapshotTried && (m_peersTried || peers().empty())) {
