--- a/src/net/largeconfigurationtest.cpp
+++ b/src/net/largeconfigurationtest.cpp
@@ -38,7 +38,7 @@
     settings.catchUpDelay = Millis(15);
     settings.configurationInterval = Seconds(1);
     settings.storeRetry.first = Millis(25);
-    settings.storeRetry.maxSteps = Millis(50);
+    settings.storeRetry.most = Millis(50);
     return settings;
 }
 
