--- a/src/net/discoveryfleettest.cpp
+++ b/src/net/discoveryfleettest.cpp
@@ -10,10 +10,10 @@
 {
 
 constexpr Duration ConfigurationBound = Seconds(2); // from its confirmation until a configuration is in force
-constexpr Duration DrainBound = Seconds(2); // from a target's leaving until it gets no requests drawBelow more
+constexpr Duration DrainBound = Seconds(2); // from a target's leaving until it gets no further requests
 constexpr std::size_t Targets = 6;
 
-// Draws the disturbances of a fleet from its seed.
+// Injects random faults, drawn from a seed, into a fleet.
 class FaultInjector
 {
 public:
@@ -28,7 +28,7 @@
         }
     }
 
-    // Changes something with some likelihood.
+    // Changes several conditions, each with a fixed probability.
     void next()
     {
         if (drawEvent(0.1)) {
@@ -68,7 +68,7 @@
         return drawBelow(m_fleet.size());
     }
 
-    // At least half of the processes are served and connected.
+    // Returns whether a process may be disturbed so that half of the processes or more remain served and connected.
     bool mayDisturbOne() const
     {
         std::size_t healthy = 0;
@@ -97,10 +97,10 @@
     std::mt19937_64 m_random;
     std::vector<StoreAccess> m_access;
     std::vector<bool> m_isDisconnected;
-    std::vector<std::size_t> m_targets; // that don't leave yet
+    std::vector<std::size_t> m_targets; // that aren't leaving
 };
 
-// Plays a fleet whose disturbances are drawn from `seed`, and checks all the time what its users were promised.
+// Runs a fleet with the faults drawn from `seed`, and checks the users' guarantees throughout.
 void checkGuarantees(std::uint64_t seed)
 {
     constexpr int Rounds = 40;
@@ -142,7 +142,7 @@
     }
 }
 
-// Failure: a process that was suspended goes by its old list in an outage, though others have a newer one.
+// Failure: after a suspension, a process uses its old list during an outage though other processes have a newer one.
 TEST(DiscoveryFleet, processThatReconnectsDuringAnOutageLearnsWhichTargetsLeft)
 {
     constexpr Duration LearnedWithin = Millis(500);
@@ -167,11 +167,11 @@
     }
 }
 
-// Failure: processes wait for others that give no answer, one after the other, before they ask a store that serves
-// them.
+// Failure: processes wait for several unresponsive processes, one after the other, before they query a store that
+// serves them.
 TEST(DiscoveryFleet, unresponsiveReaderDoesNotKeepOthersFromTheStore)
 {
-    constexpr Duration LearnedWithin = Millis(1'300); // half a second after the next regular read has begun
+    constexpr Duration LearnedWithin = Millis(1'300); // half a second after the next regular read has started
     constexpr Duration MaxPhase = Millis(800); // between two regular reads
     constexpr Duration PhaseStep = Millis(50);
     for (Duration phase {}; phase < MaxPhase; phase += PhaseStep) {
@@ -191,7 +191,7 @@
     }
 }
 
-// Guards against lists that are too old where no entry is served by the store.
+// Failure: lists are too old when the store serves no ingress proxy.
 TEST(DiscoveryFleet, listsAreKnownInTimeWhenNoIngressProxyIsServed)
 {
     for (const std::uint64_t seed : { 40, 50 }) {
--- a/src/net/logclienttest.cpp
+++ b/src/net/logclienttest.cpp
@@ -67,7 +67,7 @@
     });
 }
 
-// The platform is away, then its answer to an append is lost after the write took effect.
+// The platform has an outage. Later its response to an append is lost after the append took effect.
 TEST(LogClient, outageAndLostResponseAreUnavailable)
 {
     run([this]() -> asio::awaitable<void> {
--- a/src/net/vmlistclient.cpp
+++ b/src/net/vmlistclient.cpp
@@ -20,7 +20,7 @@
     const boost::json::object *object = error ? nullptr : value.if_object();
     const boost::json::value *list = object ? object->if_contains("vms") : nullptr;
     if (list == nullptr || !list->is_array()) {
-        return failure(ErrorKind::PlatformUnavailable, "VM list: the answer has no list \"vms\"");
+        return failure(ErrorKind::PlatformUnavailable, "VM list: the response has no list \"vms\"");
     }
     std::vector<ListedVm> vms;
     for (const boost::json::value &entry : list->get_array()) {
