--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -103,7 +103,7 @@
         const double empty = heapBytes();
         fill();
         const double table = heapBytes() - empty;
-        const auto onCarriers = [](const ServiceName &, const std::vector<CarrierPeer> &, bool, Instant) {};
+        const auto onCarriers = [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {};
         CarriedServices carried(m_services, m_config, onCarriers, m_members.front(), m_placement, m_events);
         auto list = std::make_shared<const std::vector<Member>>(m_members);
         const auto update = [&] {
--- a/include/mulberryplank/net/budgetmessages.h
+++ b/include/mulberryplank/net/budgetmessages.h
@@ -10,11 +10,11 @@
 namespace mulberryplank
 {
 
-// A process asks another for one extra attempt of a service's budget, or gives one away in answer. Who has none to give
-// doesn't answer.
+// Requests one extra attempt from another process's budget for a service, or grants one in response. A process that has
+// none to lend sends no response.
 struct BudgetMessage {
     ServiceName service;
-    std::uint64_t question = 0; // its number, as the process that asks counts
+    std::uint64_t requestNumber = 0; // chosen by the requesting process
 };
 
 std::string encode(const BudgetMessage &message);
--- a/include/mulberryplank/net/cerealcodec.h
+++ b/include/mulberryplank/net/cerealcodec.h
@@ -16,7 +16,7 @@
 namespace internal
 {
 
-// Reads from memory that it doesn't own, without a copy.
+// Reads from memory that it doesn't own, without copying it.
 class ViewBuffer : public std::streambuf
 {
 public:
@@ -41,8 +41,8 @@
     return std::move(stream).str();
 }
 
-// Decodes what cerealEncode() gave. To be used on verified bytes only: cereal believes the sizes that it reads. Errors:
-// BadRequest when the bytes don't hold a T.
+// Decodes the output of cerealEncode(). Must only be used on verified bytes, because cereal trusts the sizes that it
+// reads. Errors: BadRequest when the bytes don't hold a T.
 template<typename T>
 Result<T> cerealDecode(std::string_view bytes)
 {
--- a/include/mulberryplank/net/forwardcontext.h
+++ b/include/mulberryplank/net/forwardcontext.h
@@ -21,46 +21,46 @@
 namespace mulberryplank
 {
 
-// What a gateway knows of one service: its targets, and the budget for extra attempts.
+// The gateway's state for one service: its targets and the budget for extra attempts.
 struct ForwardService {
     TargetBalancer balancer;
     WindowBudget budget;
     BudgetLoan loan {};
 };
 
-// Limits of the path to the targets.
+// Limits for connections to targets and callers.
 struct ForwardLimits {
-    // For a target to take a connection. A target in reach takes one within a few round trips; a lost packet costs a
-    // second, after which another target has answered long since.
+    // Maximum time for connecting to a target. A reachable target accepts within a few round trips. A lost packet costs
+    // a second; another target responds well before that.
     Duration connectTime = Millis(300);
-    // Answers up to this size are read whole before a byte is passed on, so that one that breaks can be asked for
-    // again.
-    std::size_t wholeAnswerBytes = 1024 * 1024;
-    Duration writePause = Seconds(30); // for a caller to take a piece of an answer
+    // Responses up to this size are read completely before any byte is forwarded, so that a request whose response
+    // breaks off can be retried.
+    std::size_t maxBufferedResponseBytes = 1024 * 1024;
+    Duration writeTimeout = Seconds(30); // for writing a piece of a response to a caller
 };
 
-// Counts that the metrics show besides those of GatewayMetrics.
+// Counters that the metrics report in addition to GatewayMetrics.
 struct ForwardCounters {
     std::uint64_t retries = 0;
     std::uint64_t hedges = 0;
     std::uint64_t connects = 0; // new connections to targets
-    std::uint64_t foreignAnswers = 0; // answers to another request, dropped
+    std::uint64_t mismatchedResponses = 0; // responses to another request, discarded
     std::uint64_t budgetRefused = 0;
     std::uint64_t budgetLent = 0;
     std::uint64_t budgetBorrowed = 0;
 };
 
-// What the requests of a gateway share. All of it belongs to the one thread that runs the worker.
+// State shared by the requests of a gateway. Used only by the thread that runs the worker.
 struct ForwardContext {
     Worker *worker = nullptr;
     HeaderCodec codec;
     ForwardLimits limits;
     EventSink events;
     std::function<ForwardService &(const ServiceName &)> service;
-    // Tells the other gateways what was learnt of a target, from an attempt's end or its silence.
+    // Sends evidence about a target, from the end of an attempt or from a missing response, to the other gateways.
     std::function<void(const AttemptReport &)> share;
-    // Asks another gateway for a part of the service's budget; what comes of it is there a few milliseconds later.
-    std::function<void(const ServiceName &)> askForBudget;
+    // Requests a part of the service's budget from another gateway. A loan arrives a few milliseconds later.
+    std::function<void(const ServiceName &)> requestBudget;
     ForwardCounters counters;
     GatewayMetrics metrics;
 };
--- a/include/mulberryplank/net/forwarder.h
+++ b/include/mulberryplank/net/forwarder.h
@@ -15,7 +15,7 @@
 namespace mulberryplank
 {
 
-// One request as it was read, whole.
+// One request, read completely.
 struct ForwardRequest {
     RequestParser *parser = nullptr; // must outlive the forwarder's run()
     HttpStream *caller = nullptr; // likewise
@@ -25,30 +25,30 @@
     ServiceName service;
     CallerFields fields;
     Instant arrived {};
-    Instant deadline {}; // the earlier of the caller's and the route's
+    Instant deadline {}; // the earlier of the caller's and the route's deadline
 };
 
-// A target's answer. `rest` is set when the answer is too large to be held: what follows `body` is still to be read
-// from it.
-struct ForwardedAnswer {
+// A target's response. If the response is too large to be buffered, `bodyConnection` is set and the data after `body`
+// must be read from it.
+struct ForwardedResponse {
     std::unique_ptr<ResponseParser> header;
     std::string body;
-    TargetConnectionPtr rest;
+    TargetConnectionPtr bodyConnection;
     TargetName target;
 };
 
-// How a request ended: with an answer, with an error of ours, or with neither because the caller has gone. An answer
-// together with an error is the target's own error, passed on for want of better.
-struct ForwardEnd {
-    std::optional<ForwardedAnswer> answer;
+// The result of a request: a response, an error of this process, or neither if the caller disconnected. A response
+// together with an error is the target's own error, which is forwarded when no better response is available.
+struct ForwardResult {
+    std::optional<ForwardedResponse> response;
     std::optional<ErrorKind> error;
     Outcome outcome = Outcome::Unknown;
     std::uint32_t attempts = 0;
     TargetName lastTarget;
 };
 
-// Sends one request to targets until one of them has answered it, by the decisions of ForwardPlan and TargetBalancer.
-// Runs on the context's worker; attempts that lose end a little later than run().
+// Sends one request to targets until one of them has responded, as ForwardPlan and TargetBalancer decide. Runs on the
+// context's worker. Attempts that lose end slightly later than run().
 class Forwarder : public boost::intrusive_ref_counter<Forwarder, boost::thread_unsafe_counter>
 {
 public:
@@ -57,43 +57,43 @@
     Forwarder(const Forwarder &) = delete;
     Forwarder &operator=(const Forwarder &) = delete;
 
-    // Runs the request. To be called once.
-    DataAwaitable<ForwardEnd> run();
+    // Runs the request. Must be called once.
+    DataAwaitable<ForwardResult> run();
 
 private:
-    // Why an attempt is made.
+    // The reason for an attempt.
     enum class AttemptCause : std::uint8_t {
         First,
-        Retry, // none is under way any more
-        Hedge, // beside one that is slow
+        Retry, // no other attempt is running
+        Hedge, // runs beside a slow attempt
     };
 
     struct AttemptState;
     using AttemptPtr = boost::intrusive_ptr<AttemptState>;
 
-    // forwarder.cpp: which attempts there are
+    // forwarder.cpp: starts and evaluates attempts
     bool startAttempt(AttemptCause cause);
-    void judgeEnded();
-    void judge(AttemptState &attempt);
-    static ForwardedAnswer takeAnswer(AttemptState &attempt);
+    void handleEndedAttempts();
+    void handleResult(AttemptState &attempt);
+    static ForwardedResponse takeResponse(AttemptState &attempt);
     void cancelRunning();
-    void settle(AttemptState &attempt, AttemptResult result);
+    void recordOutcome(AttemptState &attempt, AttemptResult result);
     void share(const AttemptState &attempt, AttemptResult result, double logRatio);
-    void shareSilence(Instant now);
+    void shareMissingResponses(Instant now);
     bool hedgeIsDue(Instant now) const;
     void planHedge(Instant now);
     bool anyRunning() const;
     void arm();
     void logAttempt(const AttemptState &attempt, AttemptResult result) const;
 
-    // forwardattempt.cpp: one attempt
+    // forwardattempt.cpp: runs one attempt
     DataAwaitable<void> runAttempt(AttemptPtr attempt);
     DataAwaitable<AttemptResult> attemptOnce(AttemptPtr attempt);
     DataAwaitable<bool> connect(AttemptPtr attempt);
     void startWriting(const AttemptPtr &attempt, std::string bytes);
     DataAwaitable<void> write(AttemptPtr attempt, std::string bytes);
     std::string requestBytes(const AttemptState &attempt) const;
-    DataAwaitable<AttemptResult> readAnswer(AttemptPtr attempt);
+    DataAwaitable<AttemptResult> readResponse(AttemptPtr attempt);
     DataAwaitable<boost::system::error_code> readHeader(AttemptPtr attempt);
     DataAwaitable<AttemptResult> readBody(AttemptPtr attempt);
     AttemptResult classify(const AttemptState &attempt) const;
@@ -107,11 +107,11 @@
     std::vector<AttemptPtr> m_attempts;
     std::vector<TargetName> m_tried;
     std::optional<Instant> m_hedgeAt;
-    Duration m_hedgeNeeds {}; // the least time for a hedge to be worth its budget
-    std::optional<ForwardedAnswer> m_answer;
-    std::optional<ForwardedAnswer> m_failureAnswer; // a target's own error, for want of better
+    Duration m_minHedgeTime {}; // the minimum time left for a hedge to be worth its budget
+    std::optional<ForwardedResponse> m_response;
+    std::optional<ForwardedResponse> m_errorResponse; // a target's own error, used if no better response arrives
     bool m_headRequest = false;
-    bool m_callerGone = false;
+    bool m_callerDisconnected = false;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/headercodec.h
+++ b/include/mulberryplank/net/headercodec.h
@@ -15,33 +15,33 @@
 namespace mulberryplank
 {
 
-// What a caller's header says to the product, beyond HTTP.
+// The product's own fields of a caller's header.
 struct CallerFields {
-    std::string attemptId; // the caller's, of this one attempt; empty: none
-    std::optional<Duration> timeLeft; // how long the caller will wait
+    std::string attemptId; // the caller's id for this attempt; empty if there is none
+    std::optional<Duration> timeLeft; // the caller's remaining timeout
 };
 
-// What the product says to a target beyond the caller's own header.
+// The product's own fields of a request to a target, besides the caller's header.
 struct TargetFields {
-    TargetName expected; // any other target refuses the request without running it
+    TargetName expected; // any other target rejects the request without running it
     Duration timeLeft {};
 };
 
-// What a target's answer says to the product, beyond HTTP.
-struct AnswerFields {
-    std::string attemptId; // of the request that it answers
-    bool signedBody = false; // it bears the signature without which a success isn't one
+// The product's own fields of a target's response.
+struct ResponseFields {
+    std::string attemptId; // of the request that the response belongs to
+    bool signedBody = false; // the response has the signature that a successful response requires
     bool notRun = false; // the target did not run the request
-    bool wrongTarget = false; // another target has the address
+    bool wrongTarget = false; // the address belongs to another target
     std::optional<ReportedLoad> load;
-    std::optional<Duration> keptFor; // how long the target keeps the connection while it is idle
+    std::optional<Duration> keepAliveTimeout; // how long the target keeps the connection open while it is idle
 };
 
-// Translates between header fields on the wire and what they mean. The functions decide nothing.
+// Translates between header fields on the wire and their meaning. The functions make no decisions.
 struct HeaderCodec {
     std::function<CallerFields(const boost::beast::http::fields &)> readCaller;
     std::function<void(RequestHeader &, const TargetFields &)> writeTarget;
-    std::function<AnswerFields(const ResponseHeader &)> readAnswer;
+    std::function<ResponseFields(const ResponseHeader &)> readResponse;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/httpget.h
+++ b/include/mulberryplank/net/httpget.h
@@ -12,19 +12,19 @@
 namespace mulberryplank
 {
 
-// The answer to a GET request of ours.
-struct HttpGetAnswer {
-    boost::system::error_code error; // set: there was no whole answer
+// The response to a GET request of this process.
+struct HttpGetResponse {
+    boost::system::error_code error; // set if no complete response was received
     unsigned status = 0;
     std::string load; // X-Load
     bool draining = false; // X-Draining: 1
     std::string body;
 };
 
-// Asks for a small page over a connection of its own. Takes at most `timeout`.
-boost::asio::awaitable<HttpGetAnswer> httpGet(boost::asio::io_context &context,
-                                              Endpoint server,
-                                              std::string path,
-                                              Duration timeout);
+// Requests a small page over a separate connection. Takes at most `timeout`.
+boost::asio::awaitable<HttpGetResponse> httpGet(boost::asio::io_context &context,
+                                                Endpoint server,
+                                                std::string path,
+                                                Duration timeout);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/httpmessage.h
+++ b/include/mulberryplank/net/httpmessage.h
@@ -17,23 +17,23 @@
 using RequestHeader = boost::beast::http::request_header<>;
 using ResponseHeader = boost::beast::http::response_header<>;
 
-// Returns the bytes of a message's header, the closing empty line included.
+// Returns the bytes of a message's header, including the closing empty line.
 std::string headerBytes(RequestHeader header);
 std::string headerBytes(ResponseHeader header);
 
-// Returns the value of a field, empty when absent.
+// Returns the value of a field, or an empty string if it is absent.
 std::string_view fieldValue(const boost::beast::http::fields &fields, std::string_view name);
 
-// Says whether a header field may be passed on; `connection` is the value of the message's Connection header.
+// Returns true if a header field may be forwarded. `connection` is the value of the message's Connection header.
 using FieldFilter = std::function<bool(std::string_view name, std::string_view connection)>;
 
-// Adds those fields of `from` to `to` that may be passed on.
-void copyFields(const boost::beast::http::fields &from, boost::beast::http::fields &to, const FieldFilter &isPassedOn);
+// Adds those fields of `from` to `to` that may be forwarded.
+void copyFields(const boost::beast::http::fields &from, boost::beast::http::fields &to, const FieldFilter &isForwarded);
 
-// Returns the header of a target's answer with those of its fields that may be passed on.
-ResponseHeader passedOnHeader(const ResponseHeader &answer, const FieldFilter &isPassedOn);
+// Returns the header of a target's response with those of its fields that may be forwarded.
+ResponseHeader forwardedHeader(const ResponseHeader &response, const FieldFilter &isForwarded);
 
-// What a request to a target says beyond the caller's own header.
+// The fields of a request to a target besides the caller's header.
 struct TargetRequest {
     std::string_view path; // without the service's name
     std::string host; // of the target
@@ -43,16 +43,16 @@
     std::optional<ResumeRequest> resume;
 };
 
-// Returns the header to send to a target: the caller's end-to-end fields and ours.
+// Returns the header to send to a target: the caller's end-to-end fields and the proxy's own fields.
 RequestHeader targetRequestHeader(const RequestParser &caller, const TargetRequest &request);
 
-// Returns what decisions need of a target's answer.
-ResponseSummary answerHeader(const ResponseParser &parser, bool headRequest);
+// Returns the parts of a target's response that RequestPlan needs for its decisions.
+ResponseSummary summarizeResponse(const ResponseParser &parser, bool headRequest);
 
-// Returns the X-Load of an answer: requests under way at the target.
+// Returns the X-Load of a response: the number of requests in progress at the target.
 std::optional<std::uint32_t> reportedLoad(const ResponseParser &parser);
 
-// How an answer's body is framed towards the caller.
+// How the body of a response is framed for the caller.
 enum class CallerFraming {
     None,
     Length,
@@ -60,26 +60,27 @@
     UntilClose,
 };
 
-// The answer that asks a caller for its request's body.
-inline constexpr std::string_view ContinueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
+// The interim response that requests the body from a caller.
+inline constexpr std::string_view ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
-// Returns the framing for an answer to a caller that speaks HTTP version 1.`minorVersion`.
-CallerFraming callerFraming(const ResponseSummary &answer, int minorVersion);
+// Returns the framing for a response to a caller that uses HTTP version 1.`minorVersion`.
+CallerFraming callerFraming(const ResponseSummary &response, int minorVersion);
 
-// Returns the header to pass on to the caller.
-std::string callerAnswerHeader(const ResponseParser &target,
-                               CallerFraming framing,
-                               std::string_view requestId,
-                               bool keepAlive);
+// Returns the response header to send to the caller.
+std::string callerResponseHeader(const ResponseParser &target,
+                                 CallerFraming framing,
+                                 std::string_view requestId,
+                                 bool keepAlive);
 
-// Returns the fields of a target's answer that are given again with a kept body. Its framing isn't among them.
-std::vector<std::pair<std::string, std::string>> fieldsToKeep(const ResponseParser &target);
+// Returns the fields of a target's response that are stored and replayed with its body. The framing fields are not
+// included.
+std::vector<std::pair<std::string, std::string>> fieldsToStore(const ResponseParser &target);
 
 // Returns the bytes of one chunk of a chunked body, or of the last chunk when `piece` is empty.
 std::string chunkBytes(std::string_view piece);
 
-// A whole answer of our own.
-struct OwnAnswer {
+// A complete response generated by this process.
+struct LocalResponse {
     int status = 200;
     std::string body; // JSON
     Outcome outcome = Outcome::Answered;
@@ -87,11 +88,15 @@
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
-// Returns the bytes of an answer of our own.
-std::string ownAnswerBytes(const OwnAnswer &answer, std::string_view requestId, bool keepAlive, bool headRequest);
+// Returns the bytes of a response generated by this process.
+std::string localResponseBytes(const LocalResponse &response,
+                               std::string_view requestId,
+                               bool keepAlive,
+                               bool headRequest);
 
-// Returns the answer for a failure. `outcome` is at least as strong as the table's claim for `kind`.
-OwnAnswer errorAnswerFor(
+// Returns the response for a failure. `outcome` must be at least as strong as the outcome in the error table for
+// `kind`.
+LocalResponse errorResponseFor(
     ErrorKind kind, Outcome outcome, int retryAfterSeconds, std::string_view detail, std::string_view requestId);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/httpstream.h
+++ b/include/mulberryplank/net/httpstream.h
@@ -19,13 +19,13 @@
 
 // A piece of a message's body.
 struct BodyPiece {
-    boost::system::error_code error; // set: the body broke off or can't be read
+    boost::system::error_code error; // set if the body is truncated or can't be read
     std::size_t size = 0; // bytes stored
     bool last = false; // the body is complete
 };
 
-// A TCP connection that carries HTTP messages, with a read buffer and one deadline for whatever operation is under way.
-// When the deadline passes, the socket is closed and the operation ends with an error. Used by one thread only.
+// A TCP connection that carries HTTP messages, with a read buffer and one deadline for the operation in progress. When
+// the deadline passes, the socket is closed and the operation ends with an error. Used by one thread only.
 class HttpStream
 {
 public:
@@ -34,46 +34,47 @@
     HttpStream(const HttpStream &) = delete;
     HttpStream &operator=(const HttpStream &) = delete;
 
-    // Sets the deadline for the operations that follow, or takes it away.
+    // Sets the deadline for the operations that follow. expiresNever() removes it.
     void expiresAt(Instant deadline);
 
-    // Sets a deadline for reading alone: the operation ends with an error and the socket stays open, so that the peer
-    // can be told. Nothing can be read afterwards.
+    // Sets a deadline for reading only. When it passes, the operation ends with an error and the socket stays open, so
+    // that an error response can still be written to the peer. Nothing can be read afterwards.
     void readingExpiresAt(Instant deadline);
     void expiresNever();
 
     // Returns true once a deadline has passed.
     bool timedOut() const;
 
-    // Closes the socket; operations under way end with an error. May be called repeatedly.
+    // Closes the socket. Operations in progress end with an error. May be called repeatedly.
     void close();
 
-    // Connects to `endpoint` and sets the options of a data connection.
+    // Connects to `endpoint` and sets the socket options of a data connection.
     DataAwaitable<boost::system::error_code> connect(boost::asio::ip::tcp::endpoint endpoint);
 
-    // Reads until `parser` has the whole header. boost::asio::error::eof: closed before the first byte.
+    // Reads until `parser` has the complete header. Returns boost::asio::error::eof if the connection was closed before
+    // the first byte.
     DataAwaitable<boost::system::error_code> readHeader(RequestParser &parser);
     DataAwaitable<boost::system::error_code> readHeader(ResponseParser &parser);
 
-    // Reads some of the body into `out`, waiting until there is at least one byte or the body is complete.
+    // Reads a part of the body into `out`. Waits until there is at least one byte or the body is complete.
     DataAwaitable<BodyPiece> readBody(RequestParser &parser, boost::asio::mutable_buffer out);
     DataAwaitable<BodyPiece> readBody(ResponseParser &parser, boost::asio::mutable_buffer out);
 
-    // The same, for at most `most` bytes behind those that `body` holds already.
-    DataAwaitable<BodyPiece> appendBody(RequestParser &parser, std::string &body, std::size_t most);
-    DataAwaitable<BodyPiece> appendBody(ResponseParser &parser, std::string &body, std::size_t most);
+    // As readBody(), but appends up to `maxSize` bytes to `body`.
+    DataAwaitable<BodyPiece> appendBody(RequestParser &parser, std::string &body, std::size_t maxSize);
+    DataAwaitable<BodyPiece> appendBody(ResponseParser &parser, std::string &body, std::size_t maxSize);
 
     // Writes all of `data`.
     DataAwaitable<boost::system::error_code> write(boost::asio::const_buffer data);
 
-    // Reads what there is into buffer(), waiting until there is something.
+    // Reads the available data into buffer(). Waits until there is at least one byte.
     DataAwaitable<boost::system::error_code> readSome();
 
-    // Waits until at least one byte can be parsed.
+    // Waits until there is input to parse.
     DataAwaitable<boost::system::error_code> waitForInput();
 
-    // Returns true when bytes wait that nobody has asked for, or the peer has closed: such a connection can't be used
-    // for another request. Does not block.
+    // Returns true if unexpected bytes are available or the peer has closed the connection. Such a connection can't be
+    // used for another request. Does not block.
     bool hasUnexpectedInput();
 
     // Returns true when the peer has closed or reset the connection. Does not block.
@@ -95,18 +96,18 @@
     template<typename Parser>
     DataAwaitable<BodyPiece> readBodyOf(Parser &parser, boost::asio::mutable_buffer out);
     template<typename Parser>
-    DataAwaitable<BodyPiece> appendBodyOf(Parser &parser, std::string &body, std::size_t most);
+    DataAwaitable<BodyPiece> appendBodyOf(Parser &parser, std::string &body, std::size_t maxSize);
 
     DataSocket m_socket;
     TimerWheel &m_wheel;
     WheelTimer m_timer;
     boost::beast::flat_buffer m_buffer;
     bool m_timedOut = false;
-    bool m_staysOpen = false; // when the deadline passes
+    bool m_staysOpenOnTimeout = false; // when the deadline passes
 };
 
-// Sets what every data connection has: no delay of small writes, keepalive, and the longest that sent data may stay
-// unacknowledged, so that a connection whose path has lost it ends instead of hanging.
+// Sets the options of every data connection: no delay of small writes, keepalive, and the maximum time that sent data
+// may stay unacknowledged. With them a connection whose path is lost ends instead of hanging.
 void setDataSocketOptions(DataSocket &socket);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/membershipcodec.h
+++ b/include/mulberryplank/net/membershipcodec.h
@@ -10,14 +10,14 @@
 namespace mulberryplank
 {
 
-// Encode and decode what members send each other. Decoding is for verified bytes only. Errors: BadRequest.
+// Encode and decode the messages between members. Only verified bytes may be decoded. Errors: BadRequest.
 std::string encode(const MembershipMessage &message);
 Result<MembershipMessage> decodeMembershipMessage(std::string_view bytes);
 
 std::string encode(const std::vector<MemberUpdate> &updates);
 Result<std::vector<MemberUpdate>> decodeMemberUpdates(std::string_view bytes);
 
-std::string encode(const MemberExchange &answer);
+std::string encode(const MemberExchange &exchange);
 Result<MemberExchange> decodeMemberExchange(std::string_view bytes);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/peerenvelope.h
+++ b/include/mulberryplank/net/peerenvelope.h
@@ -13,28 +13,30 @@
 namespace mulberryplank
 {
 
-// What a message between proxies is about. Payloads are encoded with cereal by whoever owns the kind. A payload whose
-// layout changes gets a new number, so that proxies of two versions beside each other refuse it and don't misread it.
+// The kind of a message between proxies. Payloads are encoded with cereal by the component that owns the kind. A
+// payload whose layout changes gets a new number, so that proxies of different versions reject it instead of misreading
+// it.
 enum class PeerKind : std::uint8_t {
     ConfigPush = 2,
     ConfigPull = 3,
     Evidence = 4,
     Demand = 5,
-    OnceForward = 6,
+    AtMostOnceForward = 6,
     StatusQuery = 7,
     AttemptReports = 9,
-    BudgetQuestion = 11,
+    BudgetRequest = 11,
     BudgetLoan = 12,
-    NewsChanged = 14,
+    UpdateAvailable = 14,
     Membership = 15,
-    NewsQuery = 16,
+    UpdateQuery = 16,
 };
 
-// The way a message travels. It is signed, so that a message taken from one way can't be played back on another.
+// The channel of a message. It is covered by the signature, so that a message captured on one channel can't be replayed
+// on another.
 enum class PeerChannel : std::uint8_t {
     Datagram = 1,
     Call = 2,
-    Answer = 3,
+    Response = 3,
 };
 
 // One message between proxies.
@@ -45,14 +47,14 @@
     Incarnation incarnation = 0; // the sender's
     Endpoint from; // where the sender listens
     Sequence sequence = 0; // counts the sender's datagrams; 0 on the other channels
-    std::string destination; // the one receiver or the one exchange that it is meant for
+    std::string destination; // the receiver, or the call that the message belongs to
     std::string payload;
 };
 
 inline constexpr std::size_t MacSize = 32; // HMAC-SHA256
 
-// Returns the largest size of a sealed envelope that carries a payload of `payloadSize` bytes under names of the usual
-// lengths (up to 64 bytes each).
+// Returns the maximum size of a sealed envelope with a payload of `payloadSize` bytes and names of the usual lengths
+// (up to 64 bytes each).
 constexpr std::size_t sealedSizeBound(std::size_t payloadSize)
 {
     constexpr std::size_t FieldsAndNames = 320;
@@ -62,20 +64,21 @@
 // Encodes an envelope and signs it with `key`.
 std::string seal(const PeerEnvelope &envelope, std::string_view key);
 
-// Verifies an envelope against each of `keys` and decodes it. Nothing is decoded before the signature holds, so that
-// bytes from a stranger never reach the decoder. Errors: PeerUntrusted for a bad signature, BadRequest for signed bytes
-// of another version.
+// Verifies an envelope against each of `keys` and decodes it. Nothing is decoded before the signature is verified, so
+// that bytes from an unauthenticated sender never reach the decoder. Errors: PeerUntrusted for a bad signature,
+// BadRequest for signed bytes of another version.
 Result<PeerEnvelope> unseal(std::string_view bytes, const std::vector<std::string> &keys);
 
-// A payload's size and digest. It is signed in place of the payload where that follows on a connection.
+// Size and digest of a payload. The summary is signed instead of the payload when the payload follows it on a
+// connection.
 struct PayloadSummary {
     std::uint64_t size = 0;
     std::array<std::uint8_t, 32> digest {}; // SHA-256
-    bool failed = false; // the payload is the text of an error
-    std::string errorName; // of the error, if failed
+    bool failed = false; // the payload is an error message
+    std::string errorName; // kind of the error, if failed
 };
 
-// Summarises `payload`, and compares it with a summary.
+// Summarise a payload and compare a payload with a summary.
 PayloadSummary summarise(std::string_view payload);
 bool matches(const PayloadSummary &summary, std::string_view payload);
 
--- a/include/mulberryplank/net/prober.h
+++ b/include/mulberryplank/net/prober.h
@@ -12,9 +12,10 @@
 namespace mulberryplank
 {
 
-// Asks targets how they are, as the ProbePlan shares this out among the proxies that carry a service. An answer tells
-// whether the target is leaving or cold, which traffic alone would show late; that it is well is never believed. A
-// probe that fails is evidence as a failed request is. Runs on one io_context that one thread runs.
+// Sends health probes to targets. ProbePlan distributes the probes among the proxies that are assigned a service. A
+// response shows whether the target is leaving or cold, which traffic alone would show late; it is not taken as
+// evidence that the target is healthy. A failed probe is evidence in the same way as a failed request. Runs on one
+// io_context that is run by one thread.
 class Prober
 {
 public:
@@ -22,21 +23,21 @@
     Prober(const Prober &) = delete;
     Prober &operator=(const Prober &) = delete;
 
-    // Sets all proxies that carry a service, this one included; none forgets the service.
-    void setCarriers(const ServiceName &service, std::vector<PeerId> carriers);
+    // Sets all proxies that are assigned a service, including this one. An empty list removes the service.
+    void setAssignedProxies(const ServiceName &service, std::vector<PeerId> proxies);
 
-    // Starts the probes that are due. To be called 10 times a second.
+    // Starts the probes that are due. Must be called 10 times a second.
     void tick(Instant now);
 
 private:
     boost::asio::awaitable<void> probe(ServiceStatePtr service, TargetState target);
-    bool isMine(const std::vector<PeerId> &carriers, TargetId target, bool viewsDisagree) const;
+    bool isOwnProbe(const std::vector<PeerId> &proxies, TargetId target, bool viewsDisagree) const;
 
     boost::asio::io_context &m_context;
     ServiceRegistry &m_services;
     PeerId m_self;
     ProbePlan m_plan;
-    std::map<ServiceName, std::vector<PeerId>> m_carriers;
+    std::map<ServiceName, std::vector<PeerId>> m_assignedProxies;
     std::map<TargetId, Instant> m_nextProbe;
 };
 
--- a/include/mulberryplank/net/reportbatch.h
+++ b/include/mulberryplank/net/reportbatch.h
@@ -9,27 +9,27 @@
 namespace mulberryplank
 {
 
-// Holds back what can wait of the reports for other processes, so that several travel in one datagram: a report is 15
-// bytes long, and what surrounds it in a datagram ten times as much, for each of the others. A failure can't wait:
-// whoever learns of a sick target by itself loses a request to it. Not synchronized.
+// Delays reports for other processes that are not urgent, so that several are sent in one datagram. A report has 15
+// bytes and the overhead of its datagram is ten times as large, for each receiver. Failures are not delayed: a process
+// that doesn't receive the report loses a request of its own to the faulty target. Not synchronized.
 class ReportBatch
 {
 public:
-    // `hold`: how long a report waits for others at most.
-    explicit ReportBatch(Duration hold);
+    // `maxDelay`: the maximum time that a report waits for other reports.
+    explicit ReportBatch(Duration maxDelay);
 
-    // Takes a report, and returns those that have to be sent now: none, or all that are held as well.
+    // Adds a report. Returns the reports that must be sent now: none, or all pending ones including this one.
     std::vector<AttemptReport> add(const AttemptReport &report, Instant now);
 
-    // Returns when what is held has to be sent, or nothing while nothing is.
+    // Returns when the pending reports must be sent, or nothing if none are pending.
     std::optional<Instant> due() const;
 
-    // Returns all that is held, and holds nothing any more.
+    // Returns all pending reports and clears them.
     std::vector<AttemptReport> take();
 
 private:
-    Duration m_hold;
-    std::vector<AttemptReport> m_held;
+    Duration m_maxDelay;
+    std::vector<AttemptReport> m_pending;
     Instant m_due {};
 };
 
--- a/include/mulberryplank/net/socketoptions.h
+++ b/include/mulberryplank/net/socketoptions.h
@@ -16,13 +16,12 @@
 struct KeepaliveSettings {
     int idleSeconds = 0; // before the first probe
     int intervalSeconds = 0; // between probes
-    int probes = 0; // without an answer, after which the connection ends
-    int userTimeoutMillis = 0; // for data that was sent
+    int probes = 0; // number without a response after which the connection ends
+    int userTimeoutMillis = 0; // for unacknowledged data
 };
 
-// Sets what every TCP connection of the product has: no delay of small writes, and the keepalive that `settings` say,
-// so that a connection whose path has lost it ends instead of hanging. An option that the system refuses is left as it
-// is.
+// Sets the options of every TCP connection: no delay of small writes, and the keepalive of `settings`. With them a
+// connection whose path is lost ends instead of hanging. Options that the system rejects are ignored.
 template<typename Socket>
 void setConnectionOptions(Socket &socket, const KeepaliveSettings &settings)
 {
--- a/include/mulberryplank/net/targetpool.h
+++ b/include/mulberryplank/net/targetpool.h
@@ -26,22 +26,22 @@
     }
 
     HttpStream stream;
-    Instant lastAnswer {}; // when the last whole answer arrived
-    bool reused = false; // an answer has come over it before
-    std::optional<Duration> keptFor; // how long the target keeps it while idle, as its last answer said
+    Instant lastResponse {}; // when the last complete response was received
+    bool reused = false; // a response was received over it before
+    std::optional<Duration> keepAliveTimeout; // how long the target keeps it open while idle, from its last response
 };
 
 using TargetConnectionPtr = boost::intrusive_ptr<TargetConnection>;
 
-// The idle connections of one thread, by target address. A connection is put here only after a whole answer with
-// nothing left over: anything else could carry one caller's answer to another caller.
+// The idle connections of one thread, by target address. A connection is added only after a complete response with no
+// input left over. Otherwise one caller's response could reach another caller.
 class TargetPool
 {
 public:
     struct Settings {
-        Duration idleLimit = Seconds(30); // targets and the path forget connections; ours go first
-        Duration freshFor =
-            Seconds(2); // how long after an answer a connection is trusted with a request that runs once
+        Duration idleLimit = Seconds(30); // closes ours before targets or the network path drop connections
+        Duration nonIdempotentIdleLimit =
+            Seconds(2); // how long after a response a connection may be used for a non-idempotent request
         std::size_t idlePerTarget = 8;
     };
 
@@ -50,21 +50,21 @@
     TargetPool(const TargetPool &) = delete;
     TargetPool &operator=(const TargetPool &) = delete;
 
-    // Returns an idle connection to `endpoint` that the peer has not closed, or nullptr. The latest used goes first.
-    // For a request that isn't idempotent only a connection that has answered a moment ago is taken: bytes sent on one
-    // that has gone silent would leave the request's outcome unknown.
+    // Returns an idle connection to `endpoint` that the peer has not closed, or nullptr. The most recently used
+    // connection is returned first. For a non-idempotent request only a connection with a recent response is returned:
+    // bytes sent on an unresponsive connection would leave the outcome of the request unknown.
     TargetConnectionPtr take(const Endpoint &endpoint, bool idempotent, Instant now);
 
-    // Returns true if there is an idle connection to `endpoint`, though it may have been closed by the peer.
+    // Returns true if there is an idle connection to `endpoint`. The peer may have closed it.
     bool has(const Endpoint &endpoint) const;
 
-    // Takes the connection back for reuse, or closes it when enough are idle. `stream` must be at the end of an answer.
+    // Returns the connection to the pool, or closes it when enough are idle. `stream` must be at the end of a response.
     void put(const Endpoint &endpoint, TargetConnectionPtr connection, Instant now);
 
     // Returns a connection that is not connected yet.
     TargetConnectionPtr create();
 
-    // Closes all idle connections to `endpoint`: used when one of them proved silent.
+    // Closes all idle connections to `endpoint`. Used when one of them was unresponsive.
     void closeIdle(const Endpoint &endpoint);
 
     // Closes connections that have been idle for too long.
--- a/src/app/carriedservicestest.cpp
+++ b/src/app/carriedservicestest.cpp
@@ -46,7 +46,7 @@
     CarriedServices m_carried {
         m_registry,
         m_config,
-        [this](const ServiceName &service, const std::vector<CarrierPeer> &assignedProxies, bool mine, Instant) {
+        [this](const ServiceName &service, const std::vector<AssignedPeer> &assignedProxies, bool mine, Instant) {
             const int times = m_told[service].times + 1;
             m_told[service] = { assignedProxies.size(), mine, times };
         },
@@ -173,7 +173,7 @@
         CarriedServices carried(
             registry,
             config,
-            [](const ServiceName &, const std::vector<CarrierPeer> &, bool, Instant) {},
+            [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {},
             m_self,
             m_settings,
             [](Event, std::initializer_list<EventField>) {});
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -155,7 +155,7 @@
 
 // Callers that fail come in bursts to one entry, while the others' shares lie idle: a third of the fleet's budget was
 // used while requests died for want of it.
-void GatewayProcess::askForBudget(const ServiceName &name)
+void GatewayProcess::requestBudget(const ServiceName &name)
 {
     std::vector<Member> others = m_entries;
     std::erase_if(others, [this](const Member &entry) {
@@ -164,13 +164,14 @@
     if (!m_peers || others.empty() || !isEntry()) {
         return;
     }
-    const std::optional<std::uint64_t> question = service(name).loan.ask(Clock::now());
-    if (!question) {
+    const std::optional<std::uint64_t> requestNumber = service(name).loan.ask(Clock::now());
+    if (!requestNumber) {
         return;
     }
     const Member &lender = others[std::uniform_int_distribution<std::size_t>(0, others.size() - 1)(m_random)];
     // What is lost is asked for again by the next request that lacks it.
-    static_cast<void>(m_peers->send(lender.peer, PeerKind::BudgetQuestion, encode(BudgetMessage { name, *question })));
+    static_cast<void>(
+        m_peers->send(lender.peer, PeerKind::BudgetRequest, encode(BudgetMessage { name, *requestNumber })));
 }
 
 void GatewayProcess::lendBudget(const PeerSender &sender, const BudgetMessage &message)
@@ -190,7 +191,7 @@
     if (found == m_services.end()) {
         return;
     }
-    const std::optional<Instant> until = found->second->loan.accept(message.question, Clock::now());
+    const std::optional<Instant> until = found->second->loan.accept(message.requestNumber, Clock::now());
     if (until) {
         ++m_gateway.forward.counters.budgetBorrowed;
         found->second->budget.borrow(*until);
@@ -240,7 +241,7 @@
     }
     for (const Member &member : membersNear()) {
         // A lost hint is made up for by the next regular read.
-        static_cast<void>(m_peers->send(member.peer, PeerKind::NewsChanged, encode(hint)));
+        static_cast<void>(m_peers->send(member.peer, PeerKind::UpdateAvailable, encode(hint)));
     }
 }
 
@@ -289,7 +290,7 @@
 {
     std::string payload = encode(request);
     const Result<std::string> answer =
-        co_await m_peers->call(peer.peer, PeerKind::NewsQuery, std::move(payload), limit, internal::NewsTimeout);
+        co_await m_peers->call(peer.peer, PeerKind::UpdateQuery, std::move(payload), limit, internal::NewsTimeout);
     if (!answer) {
         m_silentPeers.note(peer.incarnation, Clock::now());
         m_peersWithoutList.note(peer.incarnation, Clock::now());
--- a/src/app/gatewayjoin.cpp
+++ b/src/app/gatewayjoin.cpp
@@ -113,7 +113,7 @@
     transport.incarnation = m_incarnation;
     transport.fleetKeys = { entry.key };
     m_peers = std::make_unique<PeerTransport>(m_worker.context, std::move(transport), m_events);
-    m_peers->onCall(PeerKind::NewsQuery,
+    m_peers->onCall(PeerKind::UpdateQuery,
                     [this](const PeerSender &sender, std::string_view payload) -> Result<std::string> {
                         const Result<PeerUpdateRequest> request = decodePeerUpdateRequest(payload);
                         if (!request) {
@@ -148,13 +148,13 @@
     onDatagram(PeerKind::AttemptReports, decodeAttemptReports, [this](const PeerSender &, const auto &reports) {
         takeReports(reports);
     });
-    onDatagram(PeerKind::BudgetQuestion, decodeBudgetMessage, [this](const PeerSender &sender, const auto &message) {
+    onDatagram(PeerKind::BudgetRequest, decodeBudgetMessage, [this](const PeerSender &sender, const auto &message) {
         lendBudget(sender, message);
     });
     onDatagram(PeerKind::BudgetLoan, decodeBudgetMessage, [this](const PeerSender &, const auto &message) {
         borrowBudget(message);
     });
-    onDatagram(PeerKind::NewsChanged, decodeUpdateHint, [this](const PeerSender &, const UpdateHint &hint) {
+    onDatagram(PeerKind::UpdateAvailable, decodeUpdateHint, [this](const PeerSender &, const UpdateHint &hint) {
         m_news->noteRemoteUpdate(hint.version);
     });
 }
--- a/src/app/gatewayprocess.cpp
+++ b/src/app/gatewayprocess.cpp
@@ -40,7 +40,7 @@
 {
     TargetPool::Settings settings;
     settings.idleLimit = Seconds(8);
-    settings.freshFor = Seconds(4);
+    settings.nonIdempotentIdleLimit = Seconds(4);
     settings.idlePerTarget = 16;
     return settings;
 }
@@ -110,8 +110,8 @@
         sendReports(m_reports.add(report, Clock::now()));
         awaitReportsDue();
     };
-    m_gateway.forward.askForBudget = [this](const ServiceName &name) {
-        askForBudget(name);
+    m_gateway.forward.requestBudget = [this](const ServiceName &name) {
+        requestBudget(name);
     };
     DiscoveryHooks hooks;
     hooks.configurationKey = platform::ConfigurationKey;
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -104,7 +104,7 @@
     void shareSuccesses();
     void sendReports(const std::vector<AttemptReport> &reports);
     void awaitReportsDue();
-    void askForBudget(const ServiceName &name);
+    void requestBudget(const ServiceName &name);
     void lendBudget(const PeerSender &sender, const BudgetMessage &message);
     void borrowBudget(const BudgetMessage &message);
     void tellNewsChanged(const UpdateHint &hint);
--- a/src/app/gatewayqueries.cpp
+++ b/src/app/gatewayqueries.cpp
@@ -160,7 +160,7 @@
     text.single("foreign_answers_total",
                 "counter",
                 "Answers of targets to some other request, not passed on.",
-                number(counters.foreignAnswers));
+                number(counters.mismatchedResponses));
 }
 
 void GatewayProcess::writeServiceMetrics(MetricsText &text) const
--- a/src/net/callersessiononce.cpp
+++ b/src/net/callersessiononce.cpp
@@ -41,7 +41,7 @@
         }
     }
 
-    void finish(const ExchangeEnd &end)
+    void finish(const ExchangeResult &end)
     {
         m_finished = true;
         if (end.kind == StepKind::Finish && end.stored) {
@@ -83,10 +83,10 @@
         co_return co_await answerOnceDecision(request, decision);
     }
     internal::OnceRun run(*m_context.once, request.account, key);
-    exchange.storeAnswerUpTo = internal::StoredAnswerBytes;
+    exchange.maxStoredResponseBytes = internal::StoredAnswerBytes;
     exchange.outlivesCaller = true;
     const boost::intrusive_ptr<Exchange> running(new Exchange(m_worker, m_context, std::move(exchange)));
-    const ExchangeEnd end = co_await running->run();
+    const ExchangeResult end = co_await running->run();
     request.bodyComplete = request.parser.is_done();
     run.finish(end);
     co_return co_await conclude(request, end);
@@ -94,7 +94,7 @@
 
 DataAwaitable<bool> CallerSession::answerOnceDecision(const Request &request, const AtMostOnceDecision &decision)
 {
-    OwnAnswer own;
+    LocalResponse own;
     switch (decision.kind) {
     case AtMostOnceDecisionKind::Replay:
         own.status = decision.answer->status;
@@ -103,29 +103,29 @@
         own.fields.emplace_back(internal::ReplayHeader, "1");
         co_return co_await answer(request, std::move(own));
     case AtMostOnceDecisionKind::InProgress:
-        own =
-            errorAnswerFor(ErrorKind::RepeatInProgress, Outcome::Unknown, 1, "the first one is under way", request.id);
+        own = errorResponseFor(
+            ErrorKind::RepeatInProgress, Outcome::Unknown, 1, "the first one is under way", request.id);
         break;
     case AtMostOnceDecisionKind::KeyReused:
-        own =
-            errorAnswerFor(ErrorKind::KeyReused, Outcome::NotRun, 0, "the key stands for another request", request.id);
+        own = errorResponseFor(
+            ErrorKind::KeyReused, Outcome::NotRun, 0, "the key stands for another request", request.id);
         break;
     case AtMostOnceDecisionKind::Full: {
         const auto wait = std::chrono::ceil<Seconds>(decision.retryAfter).count();
-        own = errorAnswerFor(
+        own = errorResponseFor(
             ErrorKind::RateLimited, Outcome::NotRun, static_cast<int>(wait), "too many keys", request.id);
         break;
     }
     case AtMostOnceDecisionKind::KeyRequired:
-        own = errorAnswerFor(
+        own = errorResponseFor(
             ErrorKind::KeyRequired, Outcome::NotRun, 0, "the key must begin with X-Once-Token", request.id);
         break;
     default:
-        own = errorAnswerFor(ErrorKind::RepeatUnknown,
-                             Outcome::Unknown,
-                             0,
-                             "the process that knows what became of this key is gone",
-                             request.id);
+        own = errorResponseFor(ErrorKind::RepeatUnknown,
+                               Outcome::Unknown,
+                               0,
+                               "the process that knows what became of this key is gone",
+                               request.id);
         break;
     }
     own.fields.emplace_back(internal::TokenHeader, toString(m_context.once->token(Clock::now())));
@@ -167,19 +167,19 @@
         answer.body.append(buffer.data(), piece.size);
     }
     if (error || !parser.is_done()) {
-        OwnAnswer own =
-            errorAnswerFor(ErrorKind::RepeatInProgress,
-                           Outcome::Unknown,
-                           1,
-                           "the process that decides on this key can't be reached; repeat with the same key",
-                           request.id);
+        LocalResponse own =
+            errorResponseFor(ErrorKind::RepeatInProgress,
+                             Outcome::Unknown,
+                             1,
+                             "the process that decides on this key can't be reached; repeat with the same key",
+                             request.id);
         ++m_context.counters.refused;
         co_return co_await this->answer(request, std::move(own));
     }
-    OwnAnswer own;
+    LocalResponse own;
     own.status = static_cast<int>(parser.get().result_int());
     own.body = std::move(answer.body);
-    own.fields = fieldsToKeep(parser);
+    own.fields = fieldsToStore(parser);
     const std::string_view outcome = fieldValue(parser.get(), "X-Outcome");
     own.outcome = outcome == "answered" ? Outcome::Answered : outcome == "not-run" ? Outcome::NotRun : Outcome::Unknown;
     co_return co_await this->answer(request, std::move(own));
--- a/src/net/evidenceexchange.cpp
+++ b/src/net/evidenceexchange.cpp
@@ -12,7 +12,7 @@
 namespace internal
 {
 
-// A report as it travels.
+// A report as sent on the wire.
 struct EvidenceMessage {
     std::string service;
     EvidenceReport report;
@@ -40,17 +40,17 @@
     });
 }
 
-void EvidenceExchange::setPeers(const ServiceName &service, std::vector<CarrierPeer> peers, Instant now)
+void EvidenceExchange::setPeers(const ServiceName &service, std::vector<AssignedPeer> peers, Instant now)
 {
-    Carried &carried = m_carried[service];
-    carried.peers = std::move(peers);
+    AssignedService &assigned = m_assigned[service];
+    assigned.peers = std::move(peers);
     const std::optional<ServedService> served = m_services.find(service);
     if (!served) {
-        m_carried.erase(service);
+        m_assigned.erase(service);
         return;
     }
     std::vector<PeerId> ids;
-    for (const CarrierPeer &peer : carried.peers) {
+    for (const AssignedPeer &peer : assigned.peers) {
         ids.push_back(peer.id);
     }
     served->state->setPeers(ids, now);
@@ -58,24 +58,24 @@
 
 void EvidenceExchange::tick(Instant now)
 {
-    for (auto &[service, carried] : m_carried) {
-        if (carried.peers.empty() || now < carried.nextReport) {
+    for (auto &[service, assigned] : m_assigned) {
+        if (assigned.peers.empty() || now < assigned.nextReport) {
             continue;
         }
         const std::optional<ServedService> served = m_services.find(service);
         if (served) {
-            send(*served, carried, now);
-            carried.nextReport = now + served->state->reportInterval();
+            send(*served, assigned, now);
+            assigned.nextReport = now + served->state->reportInterval();
         }
     }
 }
 
-void EvidenceExchange::send(const ServedService &served, const Carried &carried, Instant now)
+void EvidenceExchange::send(const ServedService &served, const AssignedService &assigned, Instant now)
 {
     const internal::EvidenceMessage message { served.state->name().value(), served.state->evidenceReport(now) };
     const std::string payload = cerealEncode(message);
-    for (const CarrierPeer &peer : carried.peers) {
-        // A lost report costs nothing but time: the next one says the same and more.
+    for (const AssignedPeer &peer : assigned.peers) {
+        // A lost report only causes a delay, because the next report includes its content.
         (void)m_transport.send(peer.endpoint, PeerKind::Evidence, payload);
     }
 }
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -43,12 +43,12 @@
         apply(m_plan.onTimer(Clock::now()));
     })
     , m_watchTimer([this] {
-        watchFired();
+        watchCaller();
     })
     , m_signal(worker.context.get_executor())
     , m_headRequest(m_request.parser->get().method() == boost::beast::http::verb::head)
 {
-    if (m_request.storeAnswerUpTo > 0) {
+    if (m_request.maxStoredResponseBytes > 0) {
         m_stored.emplace();
     }
 }
@@ -87,10 +87,10 @@
         break;
     case StepKind::ForwardHeader:
     case StepKind::ContinueBody:
-        m_source = find(step.attempt);
+        m_bodySource = find(step.attempt);
         break;
     case StepKind::Finish:
-        finishSource(step.reusable);
+        finishBodySource(step.reusable);
         m_end = step;
         break;
     case StepKind::AbortCaller:
@@ -109,8 +109,9 @@
     } else if (step.attempt > 0) {
         ++m_context.counters.retries;
     }
-    // run() carries the attempt itself where it can, which saves a coroutine of its own. It must carry all that read
-    // the caller's body, since those may not outlive it; of them there is only one at a time.
+    // run() executes the attempt itself where possible, which saves a separate coroutine. It must execute every attempt
+    // that reads the caller's body, because such an attempt must not outlive the body. There is only one of them at a
+    // time.
     if (step.hedge || (m_inAttempt && m_request.bodyComplete)) {
         spawnAttempt(step);
     } else {
@@ -140,8 +141,8 @@
     }
 }
 
-// Gives the attempt's grant back, once.
-void Exchange::settle(AttemptState &attempt, AttemptResult result)
+// Releases the attempt's grant. Does nothing if it was released before.
+void Exchange::releaseGrant(AttemptState &attempt, AttemptResult result)
 {
     if (!attempt.grant) {
         return;
@@ -157,7 +158,7 @@
     finished.targetLeaving = attempt.targetLeaving;
     const Grant grant = *attempt.grant;
     attempt.grant.reset();
-    m_atTarget += finished.slotTime;
+    m_timeAtTarget += finished.slotTime;
     deliverAll(m_request.access.state->finish(grant, finished, now));
 }
 
@@ -168,49 +169,51 @@
         return;
     }
     attempt->cancelled = true;
-    attempt->silence.disarm();
-    if (m_source.get() == attempt) {
-        m_source = nullptr;
+    attempt->responseTimer.disarm();
+    if (m_bodySource.get() == attempt) {
+        m_bodySource = nullptr;
     }
-    // An attempt that waits for more of the caller's body would keep the final answer back until that comes.
-    if (m_readsCaller.get() == attempt) {
+    // An attempt that waits for more of the caller's body would delay the final response until that data arrives.
+    if (m_bodyReader.get() == attempt) {
         boost::system::error_code ignored;
         m_request.caller->socket().cancel(ignored);
     }
     if (attempt->queued != 0 && !attempt->grant) {
         m_request.access.state->cancel(attempt->queued, Clock::now());
-        attempt->turn.set();
+        attempt->admissionSignal.set();
     }
-    // A late answer must never meet the next request: the connection goes with the attempt.
+    // A late response must never be read as the response to the next request, so the connection is closed with the
+    // attempt.
     if (attempt->connection) {
         attempt->connection->stream.close();
     }
-    settle(*attempt, step.result);
+    releaseGrant(*attempt, step.result);
 }
 
-void Exchange::finishSource(bool reusable)
+void Exchange::finishBodySource(bool reusable)
 {
-    if (!m_source) {
+    if (!m_bodySource) {
         return;
     }
     const Instant now = Clock::now();
-    const bool serverError = m_source->header.body.status >= 500;
-    m_source->cancelled = true;
-    if (reusable && m_source->grant && !m_source->answerWaits && m_source->parser->get().keep_alive()) {
-        m_worker.pool.put(m_source->grant->endpoint, std::move(m_source->connection), now);
+    const bool serverError = m_bodySource->header.body.status >= 500;
+    m_bodySource->cancelled = true;
+    if (reusable && m_bodySource->grant && !m_bodySource->hasEarlyResponse
+        && m_bodySource->parser->get().keep_alive()) {
+        m_worker.pool.put(m_bodySource->grant->endpoint, std::move(m_bodySource->connection), now);
     }
-    settle(*m_source, serverError ? AttemptResult::ServerError : AttemptResult::Success);
+    releaseGrant(*m_bodySource, serverError ? AttemptResult::ServerError : AttemptResult::Success);
     m_request.access.state->noteAnswered();
 }
 
-DataAwaitable<ExchangeEnd> Exchange::run()
+DataAwaitable<ExchangeResult> Exchange::run()
 {
     const boost::intrusive_ptr<Exchange> self(this);
     startWatch();
     apply(m_plan.start());
     while (!m_end && !m_plan.done()) {
-        if (m_source) {
-            co_await passOn();
+        if (m_bodySource) {
+            co_await forwardBody();
         } else if (m_pendingStart) {
             const Step step = *m_pendingStart;
             m_pendingStart.reset();
@@ -223,16 +226,15 @@
             co_await m_signal.wait();
         }
     }
-    // An answer without a body is finished as soon as its header has come, and only the header is still to be passed
-    // on.
-    if (m_end && m_end->kind == StepKind::Finish && m_source && !m_passing) {
-        beginAnswer(*m_source);
+    // A response without a body is finished as soon as its header is received. Only the header remains to be forwarded.
+    if (m_end && m_end->kind == StepKind::Finish && m_bodySource && !m_responseStarted) {
+        beginResponse(*m_bodySource);
         co_await writeToCaller({}, false);
     }
     m_timer.disarm();
     stopWatch();
-    ExchangeEnd end;
-    end.callerGone = m_callerGone;
+    ExchangeResult end;
+    end.callerDisconnected = m_callerDisconnected;
     end.outcome = m_plan.outcome();
     if (m_end) {
         end.kind = m_end->kind;
@@ -241,7 +243,7 @@
     if (end.kind == StepKind::Finish) {
         end.stored = std::move(m_stored);
         end.outcome = Outcome::Answered;
-        m_context.noteLatency(Clock::now() - m_request.arrived, m_atTarget);
+        m_context.noteLatency(Clock::now() - m_request.arrived, m_timeAtTarget);
     }
     co_return end;
 }
--- a/src/net/exchangeattemptstate.h
+++ b/src/net/exchangeattemptstate.h
@@ -9,18 +9,18 @@
 struct Exchange::AttemptState : boost::intrusive_ref_counter<AttemptState> {
     AttemptState(AttemptNumber attemptNumber, DataExecutor executor, Exchange &exchange)
         : number(attemptNumber)
-        , turn(executor)
-        , silence([this, &exchange] {
-            exchange.connectionSilent(*this);
+        , admissionSignal(executor)
+        , responseTimer([this, &exchange] {
+            exchange.onResponseTimeout(*this);
         })
     {
     }
 
     AttemptNumber number;
-    Signal turn; // set when `admitted` has come, or the attempt is cancelled
-    RequestId queued = 0; // its id in the service's queue; 0: not there yet
+    Signal admissionSignal; // set when `admitted` is set or the attempt is cancelled
+    RequestId queued = 0; // its id in the service's queue; 0 if it is not queued yet
     std::optional<Admitted> admitted;
-    std::optional<Grant> grant; // until given back
+    std::optional<Grant> grant; // until it is released
     TargetConnectionPtr connection;
     std::unique_ptr<ResponseParser> parser;
     ResponseSummary header;
@@ -29,9 +29,9 @@
     int shedRetryAfter = 0;
     std::optional<std::uint32_t> load;
     bool targetLeaving = false;
-    WheelTimer silence; // of a reused connection
-    bool answerWaits = false; // the answer has begun to come before the request was sent whole
-    bool cancelled = false; // its coroutine must not touch the exchange's request any more
+    WheelTimer responseTimer; // for a reused connection without a response
+    bool hasEarlyResponse = false; // the response started before the request was sent completely
+    bool cancelled = false; // the coroutine must no longer access the exchange's request
 };
 
 } // namespace mulberryplank
--- a/src/net/exchangetest.cpp
+++ b/src/net/exchangetest.cpp
@@ -1,4 +1,5 @@
-// Failures on the way of one request, played on real sockets: whole answers to the right caller, and once.
+// Tests failures during one request over real sockets: each caller gets its own complete response, and no request runs
+// more than once.
 #include <CppUTest/TestHarness.h>
 
 #include "pathtesthelp.h"
@@ -12,7 +13,7 @@
     ScriptedTarget other;
 };
 
-TEST(Exchange, PassesAnAnswerOnAndKeepsBothConnections)
+TEST(Exchange, ForwardsResponsesAndReusesBothConnections)
 {
     TestProxy proxy({ target.port() });
     Peer caller = proxy.caller();
@@ -31,8 +32,8 @@
     STRCMP_EQUAL("second", caller.read(6).c_str());
 }
 
-// Failure: a caller takes the half of a file for the whole.
-TEST(Exchange, AbortsTheCallerWhenABodyBreaksOff)
+// Guards against a caller that accepts half of a file as the complete file.
+TEST(Exchange, ResetsTheCallerConnectionWhenABodyIsTruncated)
 {
     for (const bool chunked : { false, true }) {
         const std::string part = chunked ? "5\r\nhalf!\r\n" : "half!";
@@ -51,8 +52,8 @@
     }
 }
 
-// Failure: a download hangs for ever, or its second half belongs to another version.
-TEST(Exchange, ContinuesAStalledDownloadFromAnotherTarget)
+// Guards against a download that hangs forever, or whose second half belongs to another version.
+TEST(Exchange, ResumesAStalledDownloadFromAnotherTarget)
 {
     TestProxy proxy({ target.port(), other.port() }, { routeForAll(true, Seconds(20), Millis(100)) });
     Peer caller = proxy.caller();
@@ -73,18 +74,18 @@
     STRCMP_EQUAL("0123456789", caller.read(10).c_str());
 }
 
-// Failure: a caller gets the answer to another caller's request.
-TEST(Exchange, NeverReusesAConnectionWhoseRequestWasGivenUp)
+// Guards against a caller that receives the response to another caller's request.
+TEST(Exchange, NeverReusesAConnectionWhoseRequestWasAbandoned)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false, Millis(100)) });
     Peer caller = proxy.caller();
     caller.write(TestProxy::request("GET", "/late"));
     Peer abandoned = target.accept();
-    const std::string late = abandoned.readHeader();
+    const std::string lateRequest = abandoned.readHeader();
     const std::string refusal = caller.readHeader();
     CHECK_TRUE(contains(refusal, "X-Outcome: unknown\r\n"));
     caller.read(std::stoul(field(refusal, "Content-Length")));
-    abandoned.write(answerTo(late, "late"));
+    abandoned.write(answerTo(lateRequest, "late"));
     CHECK_TRUE(abandoned.readToEnd().empty());
     caller.write(TestProxy::request("GET", "/next"));
     Peer connection = target.accept();
@@ -93,8 +94,8 @@
     STRCMP_EQUAL("next", caller.read(4).c_str());
 }
 
-// Failure: as above.
-TEST(Exchange, RefusesAnAnswerWithAnotherRequestsId)
+// Guards against a caller that receives the response to another caller's request.
+TEST(Exchange, RejectsAResponseWithAnotherRequestsId)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false) });
     Peer caller = proxy.caller();
@@ -108,7 +109,7 @@
     CHECK_TRUE(mixed.readToEnd().empty());
 }
 
-TEST(Exchange, DropsAPooledConnectionOnWhichUnaskedBytesWait)
+TEST(Exchange, DropsAPooledConnectionWithUnexpectedInput)
 {
     TestProxy proxy({ target.port() });
     Peer caller = proxy.caller();
@@ -124,21 +125,21 @@
     STRCMP_EQUAL("two", caller.read(3).c_str());
 }
 
-// Failure: an order is placed twice.
-TEST(Exchange, SendsARequestThatIsNotIdempotentOnceAfterAByteHasLeft)
+// Guards against an order that is placed twice.
+TEST(Exchange, SendsANonIdempotentRequestOnceAfterAByteWasSent)
 {
     enum class Fault {
         ResetAtOnce,
         ResetAfterHeader,
         CloseAfterHeader,
-        HalfAnAnswer,
-        Silence
+        PartialResponse,
+        NoResponse
     };
     for (const Fault fault : { Fault::ResetAtOnce,
                                Fault::ResetAfterHeader,
                                Fault::CloseAfterHeader,
-                               Fault::HalfAnAnswer,
-                               Fault::Silence }) {
+                               Fault::PartialResponse,
+                               Fault::NoResponse }) {
         TestProxy proxy({ target.port(), other.port() }, { routeForAll(false, Millis(300)) });
         Peer caller = proxy.caller();
         caller.write(TestProxy::request("POST", "/order", "Content-Length: 4\r\n") + "book");
@@ -147,12 +148,12 @@
         if (fault != Fault::ResetAtOnce) {
             connection.readHeader();
         }
-        if (fault == Fault::HalfAnAnswer) {
+        if (fault == Fault::PartialResponse) {
             connection.write("HTTP/1.1 200 O");
         }
-        if (fault == Fault::CloseAfterHeader || fault == Fault::HalfAnAnswer) {
+        if (fault == Fault::CloseAfterHeader || fault == Fault::PartialResponse) {
             connection.close();
-        } else if (fault != Fault::Silence) {
+        } else if (fault != Fault::NoResponse) {
             connection.reset();
         }
         const std::string refusal = caller.readHeader();
@@ -162,8 +163,8 @@
     }
 }
 
-// Failure: callers see failures while healthy targets stand by.
-TEST(Exchange, MovesOnWhileNothingHasRun)
+// Guards against failures that callers see although healthy targets are available.
+TEST(Exchange, RetriesAtAnotherTargetWhileNothingHasRun)
 {
     TestProxy proxy({ target.port(), other.port() }, { routeForAll(false) });
     Peer caller = proxy.caller();
@@ -179,7 +180,7 @@
     STRCMP_EQUAL("done", caller.read(4).c_str());
 }
 
-TEST(Exchange, MovesOnFromATargetThatTakesNoConnection)
+TEST(Exchange, RetriesAtAnotherTargetWhenConnectingFails)
 {
     const std::uint16_t refusing = target.port();
     target.close();
@@ -195,7 +196,7 @@
     }
 }
 
-TEST(Exchange, AnswersNotRunWhenNoTargetTakesAConnection)
+TEST(Exchange, RespondsNotRunWhenNoTargetAcceptsAConnection)
 {
     const std::uint16_t port = target.port();
     target.close();
@@ -205,8 +206,8 @@
     CHECK_TRUE(contains(caller.readHeader(), "X-Outcome: not-run\r\n"));
 }
 
-// Failure: targets work for callers that have long gone.
-TEST(Exchange, CancelsTheTargetsWorkWhenTheCallerCloses)
+// Guards against targets that work for callers which have disconnected.
+TEST(Exchange, CancelsTheTargetsWorkWhenTheCallerDisconnects)
 {
     for (const bool streamed : { false, true }) {
         TestProxy proxy({ target.port() }, { routeForAll(false, Seconds(60)) }); // longer than the test waits
@@ -222,8 +223,8 @@
     }
 }
 
-// Failure: an upload hangs until its deadline although the target has refused it.
-TEST(Exchange, PassesAnEarlyAnswerOnWhileABodyIsBeingSent)
+// Guards against an upload that hangs until its deadline although the target has rejected it.
+TEST(Exchange, ForwardsAnEarlyResponseWhileABodyIsBeingSent)
 {
     TestProxy proxy({ target.port() });
     Peer caller = proxy.caller();
@@ -241,8 +242,8 @@
     CHECK_TRUE(!caller.ended() || caller.ended() == asio::error::eof);
 }
 
-// Failure: the final answer comes as late as the caller's next piece of body.
-TEST(Exchange, AnswersAtTheDeadlineWhileTheCallersBodyPauses)
+// Guards against a final response that is delayed until the caller sends the next piece of its body.
+TEST(Exchange, RespondsAtTheDeadlineWhileTheCallersBodyStalls)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false, Millis(200)) });
     Peer caller = proxy.caller();
@@ -251,20 +252,20 @@
     CHECK_TRUE(header.starts_with("HTTP/1.1 504"));
 }
 
-// Failure: requests to a healthy target wait until they time out, and the target is blamed.
-TEST(Exchange, TriesAFreshConnectionWhenAReusedOneIsSilent)
+// Guards against requests to a healthy target that wait for their timeout and count as failures of the target.
+TEST(Exchange, TriesANewConnectionWhenAReusedOneIsUnresponsive)
 {
     CallerLimits limits;
     limits.silentTime = Millis(50);
     TestProxy proxy({ target.port() }, { routeForAll(true) }, limits);
     Peer caller = proxy.caller();
     caller.write(TestProxy::request("GET", "/one"));
-    Peer silent = target.accept();
-    silent.write(answerTo(silent.readHeader(), "one"));
+    Peer unresponsive = target.accept();
+    unresponsive.write(answerTo(unresponsive.readHeader(), "one"));
     caller.readHeader();
     caller.read(3);
     caller.write(TestProxy::request("GET", "/two"));
-    silent.readHeader();
+    unresponsive.readHeader();
     Peer fresh = target.accept();
     fresh.write(answerTo(fresh.readHeader(), "two"));
     CHECK_TRUE(caller.readHeader().starts_with("HTTP/1.1 200"));
--- a/src/net/exchangewatch.cpp
+++ b/src/net/exchangewatch.cpp
@@ -9,27 +9,29 @@
 namespace internal
 {
 
-// How long a request may be under way before its caller is watched. Most answers come sooner and pay nothing for it.
-constexpr Duration WatchAfter = Millis(15);
+// How long a request runs before its caller is watched. Most responses arrive earlier and have no cost from the watch.
+constexpr Duration WatchDelay = Millis(15);
 
 } // namespace internal
 
-// While a target works, nothing is read from or written to the caller, so a caller that has gone would be noticed only
-// when the answer comes, and the target would have worked for nobody. A wait on the caller's socket notices at once.
+// While a target works, nothing is read from or written to the caller. Without this watch a disconnected caller would
+// be detected only when the response arrives, and the target would have worked in vain. A wait on the caller's socket
+// detects it at once.
 void Exchange::startWatch()
 {
-    // The answer of such a request is kept for the caller's repeat: its caller's end changes nothing.
+    // The response of such a request is stored for the caller's retry, so a disconnected caller changes nothing.
     if (m_request.outlivesCaller) {
         return;
     }
-    m_worker.wheel.arm(m_watchTimer, Clock::now() + internal::WatchAfter);
+    m_worker.wheel.arm(m_watchTimer, Clock::now() + internal::WatchDelay);
 }
 
-// A run that is kept for the caller's repeat goes on as long as its answer can be kept: cancelled, its outcome would be
-// unknown for ever, and the caller, whose connection broke, could neither repeat the request nor learn what came of it.
-void Exchange::noteCallerGone()
+// A run whose response is stored for the caller's retry continues as long as the response can be stored. If it were
+// cancelled, its outcome would stay unknown. The caller, whose connection broke, could then neither repeat the request
+// nor learn its outcome.
+void Exchange::handleCallerDisconnect()
 {
-    m_callerGone = true;
+    m_callerDisconnected = true;
     if (m_request.outlivesCaller && m_stored) {
         return;
     }
@@ -40,7 +42,7 @@
 void Exchange::stopWatch()
 {
     m_watchTimer.disarm();
-    ++m_watchNumber;
+    ++m_watchGeneration;
     if (m_watching) {
         m_watching = false;
         boost::system::error_code ignored;
@@ -48,27 +50,27 @@
     }
 }
 
-void Exchange::watchFired()
+void Exchange::watchCaller()
 {
-    // A body that is still being read would be noticed as closed there.
+    // While the body is still being read, the read itself detects a closed connection.
     if (m_watching || !m_request.bodyComplete) {
         return;
     }
     m_watching = true;
-    const std::uint64_t number = ++m_watchNumber;
+    const std::uint64_t number = ++m_watchGeneration;
     m_request.caller->socket().async_wait(
         boost::asio::socket_base::wait_read,
         [self = boost::intrusive_ptr<Exchange>(this), number](boost::system::error_code error) {
-            if (number != self->m_watchNumber) {
+            if (number != self->m_watchGeneration) {
                 return;
             }
             self->m_watching = false;
-            // Readable without being closed: the caller's next request is there already, and nothing more can be
-            // learnt without reading it.
+            // The socket is readable but not closed: the caller has already sent its next request. Nothing more can be
+            // detected without reading it.
             if (error || !self->m_request.caller->isClosedByPeer()) {
                 return;
             }
-            self->noteCallerGone();
+            self->handleCallerDisconnect();
         });
 }
 
--- a/src/net/gatewaysessiontest.cpp
+++ b/src/net/gatewaysessiontest.cpp
@@ -249,7 +249,7 @@
 TEST(GatewaySession, answerTooLargeToBeHeldIsPassedOnAsItComes)
 {
     OneTarget served(RouteKind::LargeResponse);
-    served.gateway.context.forward.limits.wholeAnswerBytes = 1'000;
+    served.gateway.context.forward.limits.maxBufferedResponseBytes = 1'000;
     Peer caller = served.start();
     caller.write(TestGateway::request("GET", "id-1"));
     Peer atTarget = served.target.accept();
@@ -263,7 +263,7 @@
 TEST(GatewaySession, targetsErrorTooLargeToBeHeldIsPassedOnWhole)
 {
     OneTarget served(RouteKind::NonIdempotent);
-    served.gateway.context.forward.limits.wholeAnswerBytes = 1'000;
+    served.gateway.context.forward.limits.maxBufferedResponseBytes = 1'000;
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     Peer atTarget = served.target.accept();
@@ -279,7 +279,7 @@
 TEST(GatewaySession, largeAnswerThatBreaksResetsTheCallersConnection)
 {
     OneTarget served(RouteKind::LargeResponse);
-    served.gateway.context.forward.limits.wholeAnswerBytes = 1'000;
+    served.gateway.context.forward.limits.maxBufferedResponseBytes = 1'000;
     Peer caller = served.start();
     caller.write(TestGateway::request("GET", "id-1"));
     Peer atTarget = served.target.accept();
--- a/src/net/gatewaytesthelp.h
+++ b/src/net/gatewaytesthelp.h
@@ -24,8 +24,8 @@
         header.set("X-Expected", target.expected.value());
         header.set("X-Left-Ms", std::to_string(std::chrono::duration_cast<Millis>(target.timeLeft).count()));
     };
-    codec.readAnswer = [](const ResponseHeader &header) {
-        AnswerFields answer;
+    codec.readResponse = [](const ResponseHeader &header) {
+        ResponseFields answer;
         answer.attemptId = fieldValue(header, "X-Attempt");
         answer.signedBody = !fieldValue(header, "X-Signed").empty();
         answer.notRun = !fieldValue(header, "X-Refused").empty();
@@ -60,7 +60,7 @@
             return service;
         };
         context.forward.share = [](const AttemptReport &) {};
-        context.forward.askForBudget = [](const ServiceName &) {};
+        context.forward.requestBudget = [](const ServiceName &) {};
         context.routes = [this] {
             return routes;
         };
--- a/src/net/httpstream.cpp
+++ b/src/net/httpstream.cpp
@@ -18,7 +18,7 @@
 namespace internal
 {
 
-constexpr std::size_t ReadSize = 8 * 1024; // bytes asked of the socket at once
+constexpr std::size_t ReadSize = 8 * 1024; // maximum size of one read from the socket
 constexpr KeepaliveSettings DataKeepalive { 30, 10, 3, 20'000 };
 
 } // namespace internal
@@ -33,7 +33,7 @@
     , m_wheel(wheel)
     , m_timer([this] {
         m_timedOut = true;
-        if (m_staysOpen) {
+        if (m_staysOpenOnTimeout) {
             error_code ignored;
             m_socket.cancel(ignored);
         } else {
@@ -50,13 +50,13 @@
 
 void HttpStream::expiresAt(Instant deadline)
 {
-    m_staysOpen = false;
+    m_staysOpenOnTimeout = false;
     m_wheel.arm(m_timer, deadline);
 }
 
 void HttpStream::readingExpiresAt(Instant deadline)
 {
-    m_staysOpen = true;
+    m_staysOpenOnTimeout = true;
     m_wheel.arm(m_timer, deadline);
 }
 
@@ -89,7 +89,7 @@
 
 DataAwaitable<error_code> HttpStream::readSome()
 {
-    // The deadline may have passed between two reads, when there was none to cancel.
+    // The deadline may have passed between two reads, when no read could be cancelled.
     if (m_timedOut) {
         co_return asio::error::timed_out;
     }
@@ -105,7 +105,8 @@
     if (m_buffer.size() > 0) {
         co_return error_code {};
     }
-    // An idle connection keeps no read buffer: most of an idle caller's memory would be that.
+    // An idle connection keeps no read buffer, because the buffer would be the largest part of the memory of an idle
+    // caller.
     m_buffer.shrink_to_fit();
     error_code error;
     co_await m_socket.async_wait(asio::socket_base::wait_read, asio::redirect_error(UseData, error));
@@ -189,23 +190,23 @@
 }
 
 template<typename Parser>
-DataAwaitable<BodyPiece> HttpStream::appendBodyOf(Parser &parser, std::string &body, std::size_t most)
+DataAwaitable<BodyPiece> HttpStream::appendBodyOf(Parser &parser, std::string &body, std::size_t maxSize)
 {
     const std::size_t before = body.size();
-    body.resize(before + most);
-    const BodyPiece piece = co_await readBodyOf(parser, asio::buffer(body.data() + before, most));
+    body.resize(before + maxSize);
+    const BodyPiece piece = co_await readBodyOf(parser, asio::buffer(body.data() + before, maxSize));
     body.resize(before + piece.size);
     co_return piece;
 }
 
-DataAwaitable<BodyPiece> HttpStream::appendBody(RequestParser &parser, std::string &body, std::size_t most)
+DataAwaitable<BodyPiece> HttpStream::appendBody(RequestParser &parser, std::string &body, std::size_t maxSize)
 {
-    return appendBodyOf(parser, body, most);
+    return appendBodyOf(parser, body, maxSize);
 }
 
-DataAwaitable<BodyPiece> HttpStream::appendBody(ResponseParser &parser, std::string &body, std::size_t most)
+DataAwaitable<BodyPiece> HttpStream::appendBody(ResponseParser &parser, std::string &body, std::size_t maxSize)
 {
-    return appendBodyOf(parser, body, most);
+    return appendBodyOf(parser, body, maxSize);
 }
 
 DataAwaitable<error_code> HttpStream::write(asio::const_buffer data)
--- a/src/net/membershipcodec.cpp
+++ b/src/net/membershipcodec.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-// cereal spends eight bytes on the length of a string, more than most names take. One is enough here, since settings
-// limit names and addresses to 64 bytes; a longer one is refused.
+// cereal uses eight bytes for the length of a string, more than most names need. One byte is sufficient here because
+// the settings limit names and addresses to 64 bytes. A longer string is rejected.
 template<class Archive>
 void saveText(Archive &archive, const std::string &text)
 {
     if (text.size() > std::numeric_limits<std::uint8_t>::max()) {
-        throw std::length_error("name too long for the members' protocol");
+        throw std::length_error("name too long for the membership protocol");
     }
     archive(static_cast<std::uint8_t>(text.size()));
     archive(cereal::binary_data(text.data(), text.size()));
@@ -52,21 +52,21 @@
 template<class Archive>
 MemberDescription loadDescription(Archive &archive)
 {
-    MemberDescription about;
-    about.vm = VmName(loadText(archive));
-    about.peer = loadEndpoint(archive);
-    about.caller = loadEndpoint(archive);
-    about.failureDomain = FailureDomain(loadText(archive));
-    archive(about.capacity);
-    return about;
+    MemberDescription memberDescription;
+    memberDescription.vm = VmName(loadText(archive));
+    memberDescription.peer = loadEndpoint(archive);
+    memberDescription.caller = loadEndpoint(archive);
+    memberDescription.failureDomain = FailureDomain(loadText(archive));
+    archive(memberDescription.capacity);
+    return memberDescription;
 }
 
-// The status and two flags share a byte.
+// The status and two flags are stored in one byte.
 constexpr std::uint8_t StatusMask = 0x0f;
 constexpr std::uint8_t ReadyFlag = 0x10;
 constexpr std::uint8_t DescriptionFlag = 0x20;
 
-// A longer list can't be honest: it would be a fleet of more members than there are addresses to reach them at.
+// Rejects invalid lists: a longer one would describe a fleet with more members than there are addresses.
 constexpr std::uint32_t MaxUpdates = 1'000'000;
 
 } // namespace
@@ -147,23 +147,23 @@
 }
 
 template<class Archive>
-void save(Archive &archive, const MemberExchange &answer)
+void save(Archive &archive, const MemberExchange &exchange)
 {
-    archive(answer.liveCount);
-    save(archive, answer.updates);
+    archive(exchange.liveCount);
+    save(archive, exchange.updates);
 }
 
 template<class Archive>
-void load(Archive &archive, MemberExchange &answer)
+void load(Archive &archive, MemberExchange &exchange)
 {
-    archive(answer.liveCount);
-    load(archive, answer.updates);
+    archive(exchange.liveCount);
+    load(archive, exchange.updates);
 }
 
 namespace
 {
 
-// Keeps cereal's own encoding of vectors out of the way.
+// Avoids cereal's own encoding of vectors.
 struct UpdateList {
     std::vector<MemberUpdate> updates;
 
@@ -206,9 +206,9 @@
     return std::move(list->updates);
 }
 
-std::string encode(const MemberExchange &answer)
+std::string encode(const MemberExchange &exchange)
 {
-    return cerealEncode(answer);
+    return cerealEncode(exchange);
 }
 
 Result<MemberExchange> decodeMemberExchange(std::string_view bytes)
--- a/src/net/peerconnection.cpp
+++ b/src/net/peerconnection.cpp
@@ -31,7 +31,7 @@
 {
     std::string nonce(NonceSize, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(nonce.data()), static_cast<int>(nonce.size())) != 1) {
-        throw std::runtime_error("no random numbers");
+        throw std::runtime_error("random number generator failed");
     }
     return nonce;
 }
@@ -74,7 +74,7 @@
     co_return !error;
 }
 
-std::string framed(std::string_view bytes)
+std::string addLengthPrefix(std::string_view bytes)
 {
     std::string frame(LengthSize, '\0');
     boost::endian::store_big_u32(reinterpret_cast<unsigned char *>(frame.data()),
--- a/src/net/peerconnection.h
+++ b/src/net/peerconnection.h
@@ -17,17 +17,17 @@
 
 inline constexpr std::size_t NonceSize = 16;
 
-// The largest frame that a peer has to take before the other end has proven itself.
-inline constexpr std::size_t MaxHeadSize = 4'096;
+// Maximum size of the frames that are read before the other end is authenticated.
+inline constexpr std::size_t MaxHeaderFrameSize = 4'096;
 
-// Returns NonceSize random bytes that nobody can foretell.
+// Returns NonceSize cryptographically secure random bytes.
 std::string randomNonce();
 
-// Returns `bytes` with their length before them, as PeerConnection::readFrame() expects it.
-std::string framed(std::string_view bytes);
+// Returns `bytes` prefixed with their length, as PeerConnection::readFrame() expects them.
+std::string addLengthPrefix(std::string_view bytes);
 
-// One TCP connection of a call: frames with a length before them, and a time after which it is closed whatever it is
-// doing. Reads and writes return nothing or false once it is closed.
+// One TCP connection of a call. Transfers length-prefixed frames and is closed after a time limit, regardless of the
+// operation in progress. After that, reads return nothing and writes return false.
 class PeerConnection
     : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>
 {
@@ -36,23 +36,23 @@
     PeerConnection(const PeerConnection &) = delete;
     PeerConnection &operator=(const PeerConnection &) = delete;
 
-    // Closes the connection after `limit`, in place of any earlier limit. `self` is this connection.
+    // Closes the connection after `limit`, which replaces any earlier limit. `self` is this connection.
     void closeAfter(const std::shared_ptr<PeerConnection> &self, Duration limit);
     void close();
 
     boost::asio::awaitable<bool> connect(boost::asio::ip::tcp::endpoint to);
     boost::asio::awaitable<bool> write(std::string_view bytes);
 
-    // Reads a frame, or closes the connection if it is larger than `limit`.
+    // Reads a frame, or closes the connection if the frame is larger than `limit`.
     boost::asio::awaitable<std::optional<std::string>> readFrame(std::size_t limit);
 
-    // Reads so many bytes. Memory grows with what has arrived, not with what was announced.
+    // Reads exactly `size` bytes. Memory use grows with the received data, not with the announced size.
     boost::asio::awaitable<std::optional<std::string>> readBytes(std::size_t size);
 
     // Returns the other end's address for log lines.
     std::string peerText() const;
 
-    // Return the bytes moved since they were last asked.
+    // Return the number of bytes sent or received since the last call.
     std::uint64_t takeSent();
     std::uint64_t takeReceived();
 
--- a/src/net/peerenvelope.cpp
+++ b/src/net/peerenvelope.cpp
@@ -14,11 +14,11 @@
 namespace
 {
 
-// The first byte of every encoded envelope. Raised when the layout changes, so that a fleet with two versions in it
-// drops what it can't read in place of misreading it.
+// The first byte of every encoded envelope. It is incremented when the layout changes, so that a fleet with two
+// versions drops unreadable messages instead of misreading them.
 constexpr char EnvelopeVersion = 1;
 
-// Keeps this signature apart from any other use of the same key.
+// Separates this signature from any other use of the same key.
 constexpr std::string_view MacContext = "mulberryplank peer envelope";
 
 using Digest = std::array<std::uint8_t, MacSize>;
@@ -52,7 +52,8 @@
 {
     for (const std::string &key : keys) {
         const Digest expected = sign(body, key);
-        // In constant time: a comparison that stops early tells a stranger how many bytes it has guessed.
+        // Compares in constant time: a comparison that stops early would reveal how many bytes an unauthenticated
+        // sender has guessed.
         if (CRYPTO_memcmp(expected.data(), mac.data(), MacSize) == 0) {
             return true;
         }
@@ -62,7 +63,7 @@
 
 } // namespace
 
-// cereal finds these by name lookup, hence its spelling of the parameters' type.
+// cereal finds these functions by name lookup, which determines the parameter types.
 template<class Archive>
 void save(Archive &archive, const PeerEnvelope &envelope)
 {
--- a/src/net/peertransport.cpp
+++ b/src/net/peertransport.cpp
@@ -28,21 +28,22 @@
 using boost::asio::ip::tcp;
 using boost::asio::ip::udp;
 using boost::system::error_code;
-using internal::framed;
+using internal::addLengthPrefix;
 using internal::PeerConnection;
 
-// Larger than any datagram can be, so that a datagram beyond the limit is seen as such and not cut.
+// Larger than any datagram, so that an oversized datagram is detected and not truncated.
 constexpr std::size_t ReceiveBufferSize = 65'536;
 
-// A flood of bad messages must not become a flood of log lines.
+// Limits the log lines for rejected messages, so that a flood of bad messages doesn't flood the log.
 constexpr Seconds RefusalLogInterval { 1 };
 
 constexpr Millis AcceptRetryDelay { 50 };
 
-constexpr int FreePortTries = 20;
+constexpr int MaxPortAttempts = 20;
 
-// What binds a call to one connection: a signed request taken from the wire fits neither another receiver nor another
-// connection, since the receiver drew the nonce a moment ago. Calls therefore need no memory of sequence numbers.
+// Returns the destination that binds a call to one connection. A captured signed request fits neither another receiver
+// nor another connection, because the receiver generates a new nonce for each connection. Calls therefore need no
+// stored sequence numbers.
 std::string callDestination(const Endpoint &receiver, std::string_view nonce)
 {
     std::string destination = toString(receiver);
@@ -53,9 +54,9 @@
 } // namespace
 
 struct PeerTransport::Private : std::enable_shared_from_this<PeerTransport::Private> {
-    Private(boost::asio::io_context &ioContext, PeerTransportSettings given, EventSink sink)
+    Private(boost::asio::io_context &ioContext, PeerTransportSettings transportSettings, EventSink sink)
         : context(ioContext)
-        , settings(std::move(given))
+        , settings(std::move(transportSettings))
         , events(std::move(sink))
         , replays(settings.maxSenders)
         , datagrams(ioContext)
@@ -73,15 +74,15 @@
     void handleDatagram(std::string_view bytes, const udp::endpoint &from);
 
     awaitable<void> acceptCalls(std::shared_ptr<Private> self);
-    awaitable<void> answerCall(std::shared_ptr<Private> self, std::shared_ptr<PeerConnection> connection);
-    awaitable<void> answerBody(PeerConnection &connection, PeerEnvelope request, PayloadSummary summary);
+    awaitable<void> handleCall(std::shared_ptr<Private> self, std::shared_ptr<PeerConnection> connection);
+    awaitable<void> handleCallBody(PeerConnection &connection, PeerEnvelope request, PayloadSummary summary);
     Result<std::string> runHandler(const PeerEnvelope &request, std::string_view body);
     awaitable<Result<std::string>> exchange(std::shared_ptr<PeerConnection> connection,
                                             Endpoint to,
                                             std::string nonce,
                                             PeerKind kind,
                                             const std::string &payload,
-                                            Duration rest);
+                                            Duration bodyTimeout);
 
     boost::asio::io_context &context;
     PeerTransportSettings settings;
@@ -94,19 +95,19 @@
     tcp::acceptor acceptor;
     boost::intrusive::list<PeerConnection, boost::intrusive::constant_time_size<false>> connections;
     Sequence nextSequence = 1;
-    std::size_t bodyBytes = 0; // of the payloads of calls being answered
+    std::size_t bodyBytes = 0; // of the payloads of calls in progress
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
     EventThrottle refusals { RefusalLogInterval };
     bool running = false;
 };
 
-// A port that the system picked for UDP may be taken for TCP; then another one is tried. A port that was asked for is
-// never replaced.
+// A port that the system selected for UDP may be in use for TCP. In that case another port is tried. A configured port
+// is never replaced.
 void PeerTransport::Private::bind()
 {
     error_code error = bindPort();
-    for (int tries = 1; error && settings.listen.port == 0 && tries < FreePortTries; ++tries) {
+    for (int attempts = 1; error && settings.listen.port == 0 && attempts < MaxPortAttempts; ++attempts) {
         error = bindPort();
     }
     if (error) {
@@ -182,7 +183,7 @@
         if (!running) {
             co_return;
         }
-        // An error here is the echo of a datagram sent to a closed port; it says nothing about this socket.
+        // An error here was caused by a datagram sent to a closed port and doesn't concern this socket.
         if (!error) {
             received += size;
             handleDatagram(std::string_view(buffer).substr(0, size), from);
@@ -190,10 +191,11 @@
     }
 }
 
-// Playing an authentic datagram back: to the same process, the replay guard drops it; to another address, the
-// destination doesn't match. What remains is a process that was restarted at the same address and gets what was meant
-// for the one before it. Datagrams carry only statements that are bound to an incarnation and a counter or an offset
-// (gossip, pushed edits, evidence), which are stale or known then; anything that must not be repeated goes by call.
+// Replays of an authentic datagram: at the same process the replay guard drops them, and at another address the
+// destination doesn't match. One case remains: a process that was restarted at the same address receives a datagram for
+// its predecessor. Datagrams therefore carry only statements that are bound to an incarnation and a counter or an
+// offset (gossip, pushed edits, evidence). In this case those are stale or already known. Messages that must not be
+// repeated are sent as calls.
 void PeerTransport::Private::handleDatagram(std::string_view bytes, const udp::endpoint &from)
 {
     const auto fromText = [&from] {
@@ -230,9 +232,9 @@
             co_return;
         }
         if (error) {
-            // Out of descriptors, most likely: trying again at once would spin.
-            Timer pause(context, AcceptRetryDelay);
-            co_await pause.async_wait(redirect_error(use_awaitable, error));
+            // The most likely cause is a lack of file descriptors. Retrying at once would spin.
+            Timer retryTimer(context, AcceptRetryDelay);
+            co_await retryTimer.async_wait(redirect_error(use_awaitable, error));
             continue;
         }
         if (connections.size() >= settings.maxConnections) {
@@ -241,24 +243,24 @@
         }
         auto connection = std::make_shared<PeerConnection>(std::move(socket));
         connections.push_back(*connection);
-        boost::asio::co_spawn(context, answerCall(self, connection), boost::asio::detached);
+        boost::asio::co_spawn(context, handleCall(self, connection), boost::asio::detached);
     }
 }
 
-awaitable<void> PeerTransport::Private::answerCall(std::shared_ptr<Private> self,
+awaitable<void> PeerTransport::Private::handleCall(std::shared_ptr<Private> self,
                                                    std::shared_ptr<PeerConnection> connection)
 {
-    connection->closeAfter(connection, self->settings.headTimeout);
+    connection->closeAfter(connection, self->settings.handshakeTimeout);
     const std::string nonce = internal::randomNonce();
     if (!co_await connection->write(nonce)) {
         co_return;
     }
-    const auto head = co_await connection->readFrame(internal::MaxHeadSize);
+    const auto header = co_await connection->readFrame(internal::MaxHeaderFrameSize);
     received += connection->takeReceived();
-    if (!head) {
+    if (!header) {
         co_return;
     }
-    auto request = unseal(*head, settings.fleetKeys);
+    auto request = unseal(*header, settings.fleetKeys);
     if (!request) {
         co_return refuse(connection->peerText(), request.error().detail);
     }
@@ -275,15 +277,15 @@
     }
     connection->closeAfter(connection, settings.callTimeout);
     bodyBytes += summary->size;
-    co_await answerBody(*connection, *std::move(request), *summary);
+    co_await handleCallBody(*connection, *std::move(request), *summary);
     bodyBytes -= summary->size;
     received += connection->takeReceived();
     sent += connection->takeSent();
 }
 
-awaitable<void> PeerTransport::Private::answerBody(PeerConnection &connection,
-                                                   PeerEnvelope request,
-                                                   PayloadSummary summary)
+awaitable<void> PeerTransport::Private::handleCallBody(PeerConnection &connection,
+                                                       PeerEnvelope request,
+                                                       PayloadSummary summary)
 {
     const auto body = co_await connection.readBytes(summary.size);
     if (!body) {
@@ -293,13 +295,14 @@
         co_return refuse(connection.peerText(), "payload doesn't match its signature");
     }
     const Result<std::string> outcome = runHandler(request, *body);
-    const std::string &answer = outcome ? *outcome : outcome.error().detail;
-    PayloadSummary answerSummary = summarise(answer);
-    answerSummary.failed = !outcome;
-    answerSummary.errorName = outcome ? "" : toString(outcome.error().kind);
-    const PeerEnvelope head = envelope(PeerChannel::Answer, request.kind, request.destination, encode(answerSummary));
-    if (co_await connection.write(framed(seal(head, settings.fleetKeys.front())))) {
-        co_await connection.write(answer);
+    const std::string &response = outcome ? *outcome : outcome.error().detail;
+    PayloadSummary responseSummary = summarise(response);
+    responseSummary.failed = !outcome;
+    responseSummary.errorName = outcome ? "" : toString(outcome.error().kind);
+    const PeerEnvelope header =
+        envelope(PeerChannel::Response, request.kind, request.destination, encode(responseSummary));
+    if (co_await connection.write(addLengthPrefix(seal(header, settings.fleetKeys.front())))) {
+        co_await connection.write(response);
     }
 }
 
@@ -317,33 +320,33 @@
                                                                 std::string nonce,
                                                                 PeerKind kind,
                                                                 const std::string &payload,
-                                                                Duration rest)
+                                                                Duration bodyTimeout)
 {
     const std::string destination = callDestination(to, nonce);
-    const PeerEnvelope head = envelope(PeerChannel::Call, kind, destination, encode(summarise(payload)));
-    if (!co_await connection->write(framed(seal(head, settings.fleetKeys.front())))
+    const PeerEnvelope header = envelope(PeerChannel::Call, kind, destination, encode(summarise(payload)));
+    if (!co_await connection->write(addLengthPrefix(seal(header, settings.fleetKeys.front())))
         || !co_await connection->write(payload)) {
         co_return failure(ErrorKind::PeerLost, "connection lost to " + toString(to));
     }
-    const auto frame = co_await connection->readFrame(internal::MaxHeadSize);
-    if (frame && rest > Duration::zero()) {
-        connection->closeAfter(connection, rest);
+    const auto frame = co_await connection->readFrame(internal::MaxHeaderFrameSize);
+    if (frame && bodyTimeout > Duration::zero()) {
+        connection->closeAfter(connection, bodyTimeout);
     }
     if (!frame) {
         co_return failure(ErrorKind::PeerLost, "no answer from " + toString(to));
     }
-    const auto answer = unseal(*frame, settings.fleetKeys);
-    if (!answer || answer->channel != PeerChannel::Answer || answer->destination != destination) {
-        refuse(toString(to), "answer is not authentic");
-        co_return failure(ErrorKind::PeerLost, "answer is not authentic");
+    const auto response = unseal(*frame, settings.fleetKeys);
+    if (!response || response->channel != PeerChannel::Response || response->destination != destination) {
+        refuse(toString(to), "response is not authentic");
+        co_return failure(ErrorKind::PeerLost, "response is not authentic");
     }
-    const auto summary = decodePayloadSummary(answer->payload);
+    const auto summary = decodePayloadSummary(response->payload);
     if (!summary || summary->size > settings.maxCall) {
-        co_return failure(ErrorKind::PeerLost, "answer is too large or unreadable");
+        co_return failure(ErrorKind::PeerLost, "response is too large or unreadable");
     }
     auto body = co_await connection->readBytes(summary->size);
     if (!body || !matches(*summary, *body)) {
-        co_return failure(ErrorKind::PeerLost, "answer is incomplete");
+        co_return failure(ErrorKind::PeerLost, "response is incomplete");
     }
     if (summary->failed) {
         co_return failure(errorKindFromString(summary->errorName).value_or(ErrorKind::Internal), *std::move(body));
@@ -356,7 +359,7 @@
 {
     m_d->dropHook = &dropHook;
     if (m_d->settings.fleetKeys.empty()) {
-        throw std::invalid_argument("a fleet key is needed");
+        throw std::invalid_argument("at least one fleet key is required");
     }
 }
 
@@ -393,7 +396,7 @@
     for (PeerConnection &connection : m_d->connections) {
         connection.close();
     }
-    // Handlers belong to others, who may go once this returns.
+    // The owners of the handlers may be destroyed after this returns.
     m_d->datagramHandlers.clear();
     m_d->callHandlers.clear();
     m_d->events = {};
@@ -405,7 +408,7 @@
     message.sequence = m_d->nextSequence++;
     const std::string bytes = seal(message, m_d->settings.fleetKeys.front());
     if (bytes.size() > m_d->settings.maxDatagram) {
-        return failure(ErrorKind::BodyTooLarge, "payload beyond the largest datagram");
+        return failure(ErrorKind::BodyTooLarge, "payload exceeds the maximum datagram size");
     }
     if (m_d->dropped(to, true)) {
         return {};
@@ -423,16 +426,16 @@
 }
 
 awaitable<Result<std::string>> PeerTransport::call(
-    Endpoint to, PeerKind kind, std::string payload, Duration timeout, Duration rest)
+    Endpoint to, PeerKind kind, std::string payload, Duration timeout, Duration bodyTimeout)
 {
-    const std::shared_ptr<Private> self = m_d; // keeps it alive when this object goes first
+    const std::shared_ptr<Private> self = m_d; // keeps the state alive if this object is destroyed first
     if (payload.size() > self->settings.maxCall) {
-        co_return failure(ErrorKind::BodyTooLarge, "payload beyond the largest call");
+        co_return failure(ErrorKind::BodyTooLarge, "payload exceeds the maximum call size");
     }
     error_code error;
     const auto address = boost::asio::ip::make_address(to.host, error);
     if (error || self->dropped(to, true)) {
-        co_return failure(ErrorKind::ConnectFailed, "no way to " + toString(to));
+        co_return failure(ErrorKind::ConnectFailed, "can't reach " + toString(to));
     }
     auto connection = std::make_shared<PeerConnection>(tcp::socket(self->context));
     self->connections.push_back(*connection);
@@ -442,9 +445,9 @@
     }
     auto nonce = co_await connection->readBytes(internal::NonceSize);
     if (!nonce) {
-        co_return failure(ErrorKind::ConnectFailed, "no greeting from " + toString(to));
+        co_return failure(ErrorKind::ConnectFailed, "no nonce from " + toString(to));
     }
-    auto result = co_await self->exchange(connection, to, *std::move(nonce), kind, payload, rest);
+    auto result = co_await self->exchange(connection, to, *std::move(nonce), kind, payload, bodyTimeout);
     self->sent += connection->takeSent();
     self->received += connection->takeReceived();
     co_return result;
@@ -453,7 +456,7 @@
 void PeerTransport::setFleetKeys(std::vector<std::string> keys)
 {
     if (keys.empty()) {
-        throw std::invalid_argument("a fleet key is needed");
+        throw std::invalid_argument("at least one fleet key is required");
     }
     m_d->settings.fleetKeys = std::move(keys);
     if (m_d->events) {
--- a/src/net/reportbatch.cpp
+++ b/src/net/reportbatch.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-// Silence is told in steps of a fifth of a second and more; an answer that ends it takes back what was told before.
+// Missing responses are reported in steps of a fifth of a second and more. A response that arrives later withdraws
+// these reports.
 bool canWait(const AttemptReport &report)
 {
     return report.result == AttemptResult::Timeout || report.result == AttemptResult::Success;
@@ -21,29 +22,29 @@
 
 } // namespace internal
 
-ReportBatch::ReportBatch(Duration hold)
-    : m_hold(hold)
+ReportBatch::ReportBatch(Duration maxDelay)
+    : m_maxDelay(maxDelay)
 {
 }
 
 std::vector<AttemptReport> ReportBatch::add(const AttemptReport &report, Instant now)
 {
-    if (m_held.empty()) {
-        m_due = now + m_hold;
+    if (m_pending.empty()) {
+        m_due = now + m_maxDelay;
     }
-    m_held.push_back(report);
-    const bool sendsNow = !internal::canWait(report) || now >= m_due;
-    return sendsNow ? take() : std::vector<AttemptReport> {};
+    m_pending.push_back(report);
+    const bool mustSend = !internal::canWait(report) || now >= m_due;
+    return mustSend ? take() : std::vector<AttemptReport> {};
 }
 
 std::optional<Instant> ReportBatch::due() const
 {
-    return m_held.empty() ? std::nullopt : std::optional(m_due);
+    return m_pending.empty() ? std::nullopt : std::optional(m_due);
 }
 
 std::vector<AttemptReport> ReportBatch::take()
 {
-    return std::exchange(m_held, {});
+    return std::exchange(m_pending, {});
 }
 
 } // namespace mulberryplank
--- a/src/net/shareexchange.cpp
+++ b/src/net/shareexchange.cpp
@@ -59,7 +59,7 @@
 
 constexpr Duration CallTimeout = Seconds(1);
 
-// A report as it travels.
+// A report as sent on the wire.
 struct DemandMessage {
     std::string service;
     DemandReport report;
@@ -96,7 +96,7 @@
     });
 }
 
-void ShareExchange::setPeers(const ServiceName &service, std::vector<CarrierPeer> peers)
+void ShareExchange::setPeers(const ServiceName &service, std::vector<AssignedPeer> peers)
 {
     m_peers[service] = std::move(peers);
 }
@@ -110,7 +110,7 @@
             entry = m_peers.erase(entry);
             continue;
         }
-        // Without peers the report is still worked out: it is what moves this process's own share.
+        // The report is computed even without peers, because this also updates the process's own share.
         if (const std::optional<DemandReport> report = served->state->demandReport(now)) {
             send(name, *report, peers);
         }
@@ -132,12 +132,12 @@
     m_peers.clear();
 }
 
-// A report that names many accounts doesn't fit a datagram and can't be parted: parts that arrive apart would be taken
-// for reports of less demand. It goes by call.
-void ShareExchange::send(const ServiceName &service, const DemandReport &report, const std::vector<CarrierPeer> &peers)
+// A report with many accounts doesn't fit a datagram and can't be split: partial reports would be read as reports of
+// lower demand. It is sent as a call.
+void ShareExchange::send(const ServiceName &service, const DemandReport &report, const std::vector<AssignedPeer> &peers)
 {
     const std::string payload = cerealEncode(internal::DemandMessage { service.value(), report });
-    for (const CarrierPeer &peer : peers) {
+    for (const AssignedPeer &peer : peers) {
         if (payload.size() <= m_transport.maxDatagramPayload()) {
             (void)m_transport.send(peer.endpoint, PeerKind::Demand, payload);
             continue;
--- a/src/net/vmlistclient.cpp
+++ b/src/net/vmlistclient.cpp
@@ -51,7 +51,7 @@
 
 asio::awaitable<Result<std::vector<ListedVm>>> VmListClient::read()
 {
-    const HttpGetAnswer response = co_await httpGet(m_context, m_service, "/vms", m_timeout);
+    const HttpGetResponse response = co_await httpGet(m_context, m_service, "/vms", m_timeout);
     if (response.error) {
         co_return failure(ErrorKind::PlatformUnavailable, "VM list: " + response.error.message());
     }
