--- a/include/mulberryplank/net/evidenceexchange.h
+++ b/include/mulberryplank/net/evidenceexchange.h
@@ -9,7 +9,7 @@
 namespace mulberryplank
 {
 
-// Where a service's other carriers are reached.
+// Identity and address of another proxy that is assigned a service.
 struct AssignedPeer {
     PeerId id;
     Endpoint endpoint;
@@ -17,8 +17,8 @@
     auto operator<=>(const AssignedPeer &) const = default;
 };
 
-// Exchanges evidence about targets with the other proxies that carry the same services. Runs on the thread of the
-// transport's io_context.
+// Exchanges evidence about targets with the other proxies that are assigned the same services. Runs on the thread of
+// the transport's io_context.
 class EvidenceExchange
 {
 public:
@@ -26,13 +26,13 @@
     EvidenceExchange(const EvidenceExchange &) = delete;
     EvidenceExchange &operator=(const EvidenceExchange &) = delete;
 
-    // Takes over what peers send. To be called before the transport's start().
+    // Registers the handlers for messages from peers. Must be called before the transport's start().
     void attach();
 
-    // Sets the other proxies that carry a service.
+    // Sets the other proxies that are assigned a service.
     void setPeers(const ServiceName &service, std::vector<AssignedPeer> peers, Instant now);
 
-    // Sends the reports that are due. To be called 10 times a second.
+    // Sends the reports that are due. Must be called 10 times a second.
     void tick(Instant now);
 
 private:
--- a/include/mulberryplank/net/membershipcodec.h
+++ b/include/mulberryplank/net/membershipcodec.h
@@ -10,7 +10,7 @@
 namespace mulberryplank
 {
 
-// Encode and decode what members send each other. Decoding is for verified bytes only. Errors: BadRequest.
+// Encode and decode the messages between members. Only verified bytes may be decoded. Errors: BadRequest.
 std::string encode(const MembershipMessage &message);
 Result<MembershipMessage> decodeMembershipMessage(std::string_view bytes);
 
--- a/src/net/evidenceexchange.cpp
+++ b/src/net/evidenceexchange.cpp
@@ -12,7 +12,7 @@
 namespace internal
 {
 
-// A report as it travels.
+// A report as sent on the wire.
 struct EvidenceMessage {
     std::string service;
     EvidenceReport report;
@@ -75,7 +75,7 @@
     const internal::EvidenceMessage message { served.state->name().value(), served.state->evidenceReport(now) };
     const std::string payload = cerealEncode(message);
     for (const AssignedPeer &peer : assigned.peers) {
-        // A lost report costs nothing but time: the next one says the same and more.
+        // A lost report only causes a delay, because the next report includes its content.
         (void)m_transport.send(peer.endpoint, PeerKind::Evidence, payload);
     }
 }
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -109,8 +109,9 @@
     } else if (step.attempt > 0) {
         ++m_context.counters.retries;
     }
-    // run() carries the attempt itself where it can, which saves a coroutine of its own. It must carry all that read
-    // the caller's body, since those may not outlive it; of them there is only one at a time.
+    // run() executes the attempt itself where possible, which saves a separate coroutine. It must execute every attempt
+    // that reads the caller's body, because such an attempt must not outlive the body. There is only one of them at a
+    // time.
     if (step.hedge || (m_inAttempt && m_request.bodyComplete)) {
         spawnAttempt(step);
     } else {
@@ -140,7 +141,7 @@
     }
 }
 
-// Gives the attempt's grant back, once.
+// Releases the attempt's grant. Does nothing if it was released before.
 void Exchange::releaseGrant(AttemptState &attempt, AttemptResult result)
 {
     if (!attempt.grant) {
@@ -172,7 +173,7 @@
     if (m_bodySource.get() == attempt) {
         m_bodySource = nullptr;
     }
-    // An attempt that waits for more of the caller's body would keep the final answer back until that comes.
+    // An attempt that waits for more of the caller's body would delay the final response until that data arrives.
     if (m_bodyReader.get() == attempt) {
         boost::system::error_code ignored;
         m_request.caller->socket().cancel(ignored);
@@ -181,7 +182,8 @@
         m_request.access.state->cancel(attempt->queued, Clock::now());
         attempt->admissionSignal.set();
     }
-    // A late answer must never meet the next request: the connection goes with the attempt.
+    // A late response must never be read as the response to the next request, so the connection is closed with the
+    // attempt.
     if (attempt->connection) {
         attempt->connection->stream.close();
     }
@@ -224,8 +226,7 @@
             co_await m_signal.wait();
         }
     }
-    // An answer without a body is finished as soon as its header has come, and only the header is still to be passed
-    // on.
+    // A response without a body is finished as soon as its header is received. Only the header remains to be forwarded.
     if (m_end && m_end->kind == StepKind::Finish && m_bodySource && !m_responseStarted) {
         beginResponse(*m_bodySource);
         co_await writeToCaller({}, false);
--- a/src/net/exchangeattempt.cpp
+++ b/src/net/exchangeattempt.cpp
@@ -30,8 +30,7 @@
     }
     attempt.responseTimer.disarm();
     const Steps steps = m_plan.onFailed(attempt.number, result, Clock::now());
-    // A fresh connection to the same target follows: until that has onAttemptFailed too, nothing is held against the
-    // target.
+    // A new connection to the same target is tried next. The failure counts against the target only if that fails too.
     const bool connectionOnly = !steps.empty() && steps.front().sameTarget.has_value();
     apply(steps);
     if (!attempt.cancelled) {
@@ -84,7 +83,8 @@
 {
     const Endpoint &endpoint = attempt->grant->endpoint;
     if (fresh) {
-        // The last connection to this target went silent or was closed under a request: the deliveries may have, too.
+        // The last connection to this target became unresponsive or was closed during a request. The other idle ones
+        // may be broken as well.
         m_worker.pool.closeIdle(endpoint);
     } else {
         attempt->connection = m_worker.pool.take(endpoint, m_request.route.idempotent, Clock::now());
@@ -132,10 +132,11 @@
     co_return error;
 }
 
-// Something between here and the target may have forgotten a pooled connection: what is sent on it vanishes, and the
-// request would wait for its timeout while the target is well. A reused connection that brings no byte in time counts
-// as broken, and the plan tries one fresh connection to the same target. A target that is only slow runs such a request
-// twice, so this is for requests that may run twice, and is paid from the retry budget.
+// A middlebox between this process and the target may have dropped the state of a pooled connection. Data sent on it is
+// lost, and the request would wait for its timeout although the target is healthy. A reused connection without a
+// response byte in time therefore counts as broken, and the plan tries one new connection to the same target. A target
+// that is only slow runs such a request twice, so this is limited to idempotent requests and paid from the retry
+// budget.
 void Exchange::armResponseTimer(AttemptState &attempt)
 {
     if (!attempt.connection->reused || !m_request.route.idempotent || !m_request.bodyComplete) {
@@ -154,8 +155,8 @@
     }
 }
 
-// Notices an answer that comes while the request is still being sent: a target that refuses a large body says so at
-// once, and sending the rest would only fill its receive buffer until both sides wait for each other.
+// Detects a response that arrives while the request is still being sent. A target that rejects a large body responds at
+// once. Sending the remainder would only fill its receive buffer until both sides wait for each other.
 void Exchange::watchForEarlyResponse(AttemptPtr attempt)
 {
     attempt->connection->stream.socket().async_wait(
@@ -192,7 +193,7 @@
     co_return error;
 }
 
-// Passes the caller's body on until its end, the attempt's end or an early answer.
+// Forwards the caller's body until its end, the end of the attempt or an early response.
 DataAwaitable<error_code> Exchange::forwardRequestBody(AttemptPtr attempt)
 {
     HttpStream &caller = *m_request.caller;
@@ -266,7 +267,7 @@
     if (attempt->cancelled) {
         co_return;
     }
-    // A target may answer early and stop reading: its answer is there though sending onAttemptFailed.
+    // A target may respond early and stop reading. Its response is then available although sending ended with an error.
     const error_code sendError = error;
     error = co_await readResponseHeader(attempt);
     if (error && sendError) {
--- a/src/net/exchangebody.cpp
+++ b/src/net/exchangebody.cpp
@@ -20,7 +20,7 @@
     const int minorVersion = static_cast<int>(m_request.parser->get().version()) - 10;
     m_responseStarted = true;
     m_framing = callerFraming(source.header, minorVersion);
-    // What is left of a request's body would be taken for the next request.
+    // The unread part of the request's body would be parsed as the next request.
     if (m_framing == CallerFraming::UntilClose || !m_request.bodyComplete) {
         m_request.keepAlive = false;
     }
@@ -46,7 +46,8 @@
     m_stored->body += piece;
 }
 
-// Writes what is unwritten and a piece of body; `last` ends the body. Returns false when the caller has gone.
+// Writes the pending output and a piece of the body; `last` ends the body. Returns false when the exchange has ended,
+// for instance because the caller disconnected.
 DataAwaitable<bool> Exchange::writeToCaller(std::string_view piece, bool last)
 {
     const bool chunked = m_framing == CallerFraming::Chunked;
@@ -83,8 +84,8 @@
     const std::uint64_t accepted = m_plan.onBody(source->number, piece.size);
     const std::string_view data(m_buffer.data(), accepted);
     store(data);
-    // The end of a chunked body is written only after the plan has said that the body is whole. A length ends by
-    // itself, so its last piece may go out with what was held back.
+    // The end of a chunked body is written only after the plan has confirmed that the body is complete. A body with a
+    // length needs no end marker, so its last piece may be written together with the pending output.
     const bool deferEnd = piece.last && m_framing == CallerFraming::Chunked;
     if (!deferEnd || accepted > 0) {
         const bool written = co_await writeToCaller(data, false);
@@ -109,7 +110,7 @@
     const AttemptPtr source = m_bodySource;
     if (!m_responseStarted) {
         beginResponse(*source);
-        // A header whose body isn't there yet goes out at once; otherwise both go out in one write.
+        // A header without any available body is written at once. Otherwise header and body are written together.
         const bool bodyAvailable = !source->parser->is_done() && source->connection->stream.buffer().size() > 0;
         if (!bodyAvailable) {
             const bool written = co_await writeToCaller({}, false);
--- a/src/net/exchangefaulttest.cpp
+++ b/src/net/exchangefaulttest.cpp
@@ -1,4 +1,4 @@
-// The promises of firstTarget request under random schedules of target faults, over real sockets.
+// Checks the guarantees for a single request under random schedules of target faults, over real sockets.
 #include <CppUTest/TestHarness.h>
 #include <rapidcheck.h>
 
@@ -24,7 +24,7 @@
 
 using Schedule = std::vector<Fault>;
 
-// What the targets saw, by path.
+// The number of times that the targets ran a request, by path.
 struct RequestLog {
     std::mutex mutex;
     std::map<std::string, int> runs;
@@ -35,7 +35,7 @@
     return "answer to " + path + std::string(3'000, '.');
 }
 
-// A target that takes the faults of a schedule in turn, firstTarget for each request.
+// A target that applies the next fault of a schedule to each request, in order.
 class FaultyTarget
 {
 public:
@@ -49,7 +49,8 @@
     {
     }
 
-    // To be called after the proxy has gone, which closes all connections but firstTarget of ours that ends accept().
+    // Must be called after the proxy was destroyed. That closes all connections except the final connection made here,
+    // which ends accept().
     ~FaultyTarget()
     {
         m_stopping = true;
@@ -146,7 +147,7 @@
     const std::string header = caller.readHeader();
     const std::size_t length = std::strtoul(field(header, "Content-Length").c_str(), nullptr, 10);
     const std::string body = caller.read(length);
-    caller.reset(); // hundreds of ports left waiting would be missing to secondTarget tests that bind firstTarget
+    caller.reset(); // hundreds of ports in TIME_WAIT would be unavailable to tests that bind ports
     const std::lock_guard lock(requestLog.mutex);
     if (method == "POST") {
         RC_ASSERT(requestLog.runs[path] <= 1);
@@ -165,7 +166,7 @@
 
 TEST(ExchangeFaults, PreserveTheGuaranteesOfEachRequest)
 {
-    CHECK_TRUE(rc::check("no fault of targets breaks a promise", [] {
+    CHECK_TRUE(rc::check("target faults break no guarantee", [] {
         const auto fault = rc::gen::map(rc::gen::inRange(0, static_cast<int>(Fault::Count)), [](int value) {
             return static_cast<Fault>(value);
         });
--- a/src/net/exchangetest.cpp
+++ b/src/net/exchangetest.cpp
@@ -1,4 +1,5 @@
-// Failures on the way of one request, played on real sockets: whole answers to the right caller, and once.
+// Tests failures during one request over real sockets: each caller gets its own complete response, and no request runs
+// more than once.
 #include <CppUTest/TestHarness.h>
 
 #include "pathtesthelp.h"
@@ -31,7 +32,7 @@
     STRCMP_EQUAL("second", caller.read(6).c_str());
 }
 
-// Failure: a caller takes the half of a file for the whole.
+// Guards against a caller that accepts half of a file as the complete file.
 TEST(Exchange, ResetsTheCallerConnectionWhenABodyIsTruncated)
 {
     for (const bool chunked : { false, true }) {
@@ -51,7 +52,7 @@
     }
 }
 
-// Failure: a download hangs for ever, or its second half belongs to another version.
+// Guards against a download that hangs forever, or whose second half belongs to another version.
 TEST(Exchange, ResumesAStalledDownloadFromAnotherTarget)
 {
     TestProxy proxy({ target.port(), other.port() }, { routeForAll(true, Seconds(20), Millis(100)) });
@@ -73,7 +74,7 @@
     STRCMP_EQUAL("0123456789", caller.read(10).c_str());
 }
 
-// Failure: a caller gets the answer to another caller's request.
+// Guards against a caller that receives the response to another caller's request.
 TEST(Exchange, NeverReusesAConnectionWhoseRequestWasAbandoned)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false, Millis(100)) });
@@ -93,7 +94,7 @@
     STRCMP_EQUAL("next", caller.read(4).c_str());
 }
 
-// Failure: as above.
+// Guards against a caller that receives the response to another caller's request.
 TEST(Exchange, RejectsAResponseWithAnotherRequestsId)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false) });
@@ -124,7 +125,7 @@
     STRCMP_EQUAL("two", caller.read(3).c_str());
 }
 
-// Failure: an order is placed twice.
+// Guards against an order that is placed twice.
 TEST(Exchange, SendsANonIdempotentRequestOnceAfterAByteWasSent)
 {
     enum class Fault {
@@ -162,7 +163,7 @@
     }
 }
 
-// Failure: callers see failures while healthy targets stand by.
+// Guards against failures that callers see although healthy targets are available.
 TEST(Exchange, RetriesAtAnotherTargetWhileNothingHasRun)
 {
     TestProxy proxy({ target.port(), other.port() }, { routeForAll(false) });
@@ -205,7 +206,7 @@
     CHECK_TRUE(contains(caller.readHeader(), "X-Outcome: not-run\r\n"));
 }
 
-// Failure: targets work for callers that have long gone.
+// Guards against targets that work for callers which have disconnected.
 TEST(Exchange, CancelsTheTargetsWorkWhenTheCallerDisconnects)
 {
     for (const bool streamed : { false, true }) {
@@ -222,7 +223,7 @@
     }
 }
 
-// Failure: an upload hangs until its deadline although the target has refused it.
+// Guards against an upload that hangs until its deadline although the target has rejected it.
 TEST(Exchange, ForwardsAnEarlyResponseWhileABodyIsBeingSent)
 {
     TestProxy proxy({ target.port() });
@@ -241,7 +242,7 @@
     CHECK_TRUE(!caller.endReason() || caller.endReason() == asio::error::eof);
 }
 
-// Failure: the final answer comes as lateRequest as the caller's next piece of body.
+// Guards against a final response that is delayed until the caller sends the next piece of its body.
 TEST(Exchange, RespondsAtTheDeadlineWhileTheCallersBodyStalls)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false, Millis(200)) });
@@ -251,7 +252,7 @@
     CHECK_TRUE(header.starts_with("HTTP/1.1 504"));
 }
 
-// Failure: requests to a healthy target wait until they time out, and the target is blamed.
+// Guards against requests to a healthy target that wait for their timeout and count as failures of the target.
 TEST(Exchange, TriesANewConnectionWhenAReusedOneIsUnresponsive)
 {
     CallerLimits limits;
--- a/src/net/exchangewatch.cpp
+++ b/src/net/exchangewatch.cpp
@@ -9,24 +9,26 @@
 namespace internal
 {
 
-// How long a request may be under way before its caller is watched. Most answers come sooner and pay nothing for it.
+// How long a request runs before its caller is watched. Most responses arrive earlier and have no cost from the watch.
 constexpr Duration WatchDelay = Millis(15);
 
 } // namespace internal
 
-// While a target works, nothing is read from or written to the caller, so a caller that has gone would be noticed only
-// when the answer comes, and the target would have worked for nobody. A wait on the caller's socket notices at once.
+// While a target works, nothing is read from or written to the caller. Without this watch a disconnected caller would
+// be detected only when the response arrives, and the target would have worked in vain. A wait on the caller's socket
+// detects it at once.
 void Exchange::startWatch()
 {
-    // The answer of such a request is kept for the caller's repeat: its caller's end changes nothing.
+    // The response of such a request is stored for the caller's retry, so a disconnected caller changes nothing.
     if (m_request.outlivesCaller) {
         return;
     }
     m_worker.wheel.arm(m_watchTimer, Clock::now() + internal::WatchDelay);
 }
 
-// A run that is kept for the caller's repeat goes on as long as its answer can be kept: cancelled, its outcome would be
-// unknown for ever, and the caller, whose connection broke, could neither repeat the request nor learn what came of it.
+// A run whose response is stored for the caller's retry continues as long as the response can be stored. If it were
+// cancelled, its outcome would stay unknown. The caller, whose connection broke, could then neither repeat the request
+// nor learn its outcome.
 void Exchange::handleCallerDisconnect()
 {
     m_callerDisconnected = true;
@@ -50,7 +52,7 @@
 
 void Exchange::watchCaller()
 {
-    // A body that is still being read would be noticed as closed there.
+    // While the body is still being read, the read itself detects a closed connection.
     if (m_watching || !m_request.bodyComplete) {
         return;
     }
@@ -63,8 +65,8 @@
                 return;
             }
             self->m_watching = false;
-            // Readable without being closed: the caller's next request is there already, and nothing more can be
-            // learnt without reading it.
+            // The socket is readable but not closed: the caller has already sent its next request. Nothing more can be
+            // detected without reading it.
             if (error || !self->m_request.caller->isClosedByPeer()) {
                 return;
             }
--- a/src/net/forwardattempt.cpp
+++ b/src/net/forwardattempt.cpp
@@ -1,4 +1,4 @@
-// One attempt of a forwarder; forwarder.cpp decides which attempts there are.
+// Runs one attempt of a forwarder. forwarder.cpp decides which attempts are made.
 #include "mulberryplank/net/forwarder.h"
 
 #include <algorithm>
@@ -30,7 +30,8 @@
 constexpr unsigned FirstFinalStatus = 200;
 constexpr unsigned FirstRedirectStatus = 300;
 constexpr unsigned FirstServerError = 500;
-// Answers to other requests that are dropped on one connection before it counts as beyond use.
+// Maximum number of responses to other requests that are discarded on one connection. After that the connection counts
+// as unusable.
 constexpr int MaxMismatchedResponses = 4;
 
 bool isParseError(const error_code &error)
@@ -51,8 +52,9 @@
     }
     attempt->result = result;
     attempt->ended = true;
-    // Only a connection that is at a clean end goes back: with bytes left over it would hand one caller's answer to
-    // another, and a target that responseId before it had read the request waits for the rest of it.
+    // Only a connection without input left over is returned to the pool, since leftover bytes would hand one caller's
+    // response to another. A target that responded before it had read the request still waits for the rest of it, so
+    // its connection is not reusable either.
     const bool complete = attempt->parser && attempt->parser->is_done() && !attempt->hasMoreBody;
     const bool reusable = complete && attempt->sentBeforeResponse && attempt->parser->keep_alive()
                           && !attempt->parser->need_eof() && attempt->fields.attemptId == m_request.fields.attemptId;
@@ -79,8 +81,8 @@
     co_return co_await readResponse(attempt);
 }
 
-// Reading and writing go on at the same time: a target may answer before it has read the request, and one that has
-// stopped reading would otherwise keep its answer from being seen.
+// Reading and writing run concurrently: a target may respond before it has read the request. If it has stopped reading,
+// waiting for the write would prevent its response from being read.
 void Forwarder::startWriting(const AttemptPtr &attempt, std::string bytes)
 {
     asio::co_spawn(m_context.worker->context, write(attempt, std::move(bytes)), asio::detached);
@@ -122,8 +124,8 @@
     header.method_string(message.method_string());
     header.target(message.target());
     copyFields(message, header, isEndToEnd);
-    header.erase(http::field::expect); // it was responseId here
-    // The body was read complete, so its length is known whatever framing the caller used.
+    header.erase(http::field::expect); // the expectation was handled here
+    // The body was read completely, so its length is known for any framing that the caller used.
     header.erase(http::field::content_length);
     if (!m_request.body.empty() || fieldValue(message, "Content-Length") == "0" || m_request.parser->chunked()) {
         header.set(http::field::content_length, std::to_string(m_request.body.size()));
@@ -147,8 +149,8 @@
     }
 }
 
-// Reads answers until one is this request's. A target may have sent a second answer to the request before, too expired
-// to be seen when the connection was taken: it bears that request's id.
+// Reads responses until the id matches this request. A target may have sent a second response to the previous request
+// that arrived after the pooled connection was checked. It has the id of that request.
 DataAwaitable<AttemptResult> Forwarder::readResponse(AttemptPtr attempt)
 {
     for (int mismatched = 0; mismatched <= internal::MaxMismatchedResponses; ++mismatched) {
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -18,22 +18,23 @@
 namespace
 {
 
-// A hedge goes out so early that it can still response within the target latency with this likelihood, but not before
-// this share of requests has been answered without one, and at the latest once that share has: earlier ones would
-// mostly double work that was about to end, later ones would mostly come too late.
+// A hedge starts early enough to get its response within the target latency with probability HedgeLatencyQuantile. It
+// starts no earlier than the EarliestHedgeQuantile of the route's latency, and no later than the LatestHedgeQuantile.
+// Earlier hedges would mostly duplicate requests that are about to finish, and later ones would mostly be too late.
 constexpr double HedgeLatencyQuantile = 0.8;
 constexpr double EarliestHedgeQuantile = 0.8;
 constexpr double LatestHedgeQuantile = 0.97;
 
-// What hedges leave of the budget to retries, which are needed more: their first attempt is known to have failed.
+// The part of the budget that hedges leave to retries. Retries are needed more, because their first attempt is known to
+// have failed.
 constexpr double RetryReserve = 1;
 
-// A hedge is made only while at least this part of the route's answers comes within the time left: one that mostly
-// can't be answered any more takes budget from those that can.
+// A hedge is started only if at least this share of the route's responses arrives within the time left. A hedge with a
+// smaller chance uses budget that other requests could use successfully.
 constexpr double MinHedgeChance = 0.5;
 
-// How long a hedge that the budget or the targets didn't allow waits until it is tried again: by then another gateway
-// has lent what it was asked for, or old attempts have left the window.
+// The delay before a hedge that the budget or the targets didn't allow is tried again. By then another gateway has lent
+// the requested budget, or old attempts have left the window.
 constexpr Duration HedgeRetryDelay = Millis(50);
 
 } // namespace
@@ -62,7 +63,7 @@
     });
 }
 
-// Returns false when there is no target to start at, or no budget.
+// Returns false if no target is available or the budget is used up.
 bool Forwarder::startAttempt(AttemptCause cause)
 {
     const Instant now = Clock::now();
@@ -73,7 +74,7 @@
     selection.connected = [this](const Endpoint &endpoint) {
         return m_context.worker->pool.has(endpoint);
     };
-    // Without the budget for an attempt after this one, it is the last.
+    // If the budget doesn't allow another attempt after this one, this is the last.
     const double ownCost = cause == AttemptCause::First ? 0 : 1;
     selection.isLast = m_plan.nextAttemptIsLast() || m_service.budget.left(now) < ownCost + 1 + internal::RetryReserve;
     std::optional<ChosenTarget> chosen = m_service.balancer.choose(selection, now);
@@ -92,7 +93,7 @@
     m_tried.push_back(attempt->target.id);
     m_service.balancer.begin(attempt->target.id, *m_request.route, now);
     if (attempt->target.wasUnused) {
-        // Otherwise each of the others would send it a request as well, and lose it if the target is sick.
+        // Otherwise each of the other gateways would send it a request as well, and lose it if the target is faulty.
         share(*attempt, AttemptResult::Cancelled, 0);
     }
     attempt->noResponseReportAt = m_service.balancer.nextNoResponseReport(attempt->target.id, now);
@@ -158,7 +159,7 @@
     m_context.share(attemptReport(attempt.target.id, result, logRatio, Clock::now() - attempt.started));
 }
 
-// Tells the others of attempts that have been without an response for long.
+// Reports attempts that have been without a response for long to the other gateways.
 void Forwarder::shareMissingResponses(Instant now)
 {
     for (const AttemptPtr &attempt : m_attempts) {
@@ -176,8 +177,8 @@
     }
 }
 
-// Ends what runs still; the target's connection goes with the attempt, so that the target stops working and a late
-// response meets nobody.
+// Cancels the running attempts. Each attempt's connection is closed with it, so that the target stops working and a
+// late response is never read.
 void Forwarder::cancelRunning()
 {
     for (const AttemptPtr &attempt : m_attempts) {
@@ -188,8 +189,8 @@
         if (attempt->connection) {
             attempt->connection->stream.close();
         }
-        // An attempt that ran up to the deadline without an response speaks against its target; one whose request was
-        // answered elsewhere, or whose caller left, does not.
+        // An attempt that had no response until the deadline counts against its target. An attempt whose request got
+        // its response from another target, or whose caller disconnected, does not.
         const bool timedOut = !m_response && !m_callerDisconnected;
         recordOutcome(*attempt, timedOut ? AttemptResult::Timeout : AttemptResult::Cancelled);
     }
@@ -216,7 +217,7 @@
         return;
     }
     m_plan.onFailed(attempt.result, attempt.sent);
-    // The target's own error is passed on if nothing better comes, but not under a status that impliesNotRun that the
+    // The target's own error is forwarded if no better response arrives, except for a status which implies that the
     // request did not run.
     const bool impliesNotRun = status == 408 || status == 421 || status == 429 || status == 503;
     if (attempt.result == AttemptResult::ServerError && !impliesNotRun) {
@@ -233,7 +234,7 @@
     }
 }
 
-// Chooses the time at which a second target is asked, for requests that may run twice.
+// Sets the time of the hedge to a second target, for idempotent requests.
 void Forwarder::planHedge(Instant now)
 {
     m_hedgeAt.reset();
--- a/src/net/httpmessage.cpp
+++ b/src/net/httpmessage.cpp
@@ -21,8 +21,8 @@
 namespace internal
 {
 
-// Returns the bytes of a header alone. The serializer must be stopped there: asked for the whole message, it ends a
-// chunked one with its last chunk, and every chunked body would end before it began.
+// Returns the bytes of a header only. The serializer must be stopped after the header: for the complete message it
+// would append the last chunk of a chunked body, which would end every chunked body before its start.
 template<bool IsRequest>
 std::string serialize(http::header<IsRequest> header)
 {
@@ -55,7 +55,8 @@
     return value;
 }
 
-// Conditions of the caller's own request that must not go with the request for the rest of a body.
+// Returns true for conditions and ranges of the caller's request, which must not be part of a request for the remainder
+// of a body.
 bool isConditional(http::field field)
 {
     switch (field) {
--- a/src/net/httpstream.cpp
+++ b/src/net/httpstream.cpp
@@ -18,7 +18,7 @@
 namespace internal
 {
 
-constexpr std::size_t ReadSize = 8 * 1024; // bytes asked of the socket at once
+constexpr std::size_t ReadSize = 8 * 1024; // maximum size of one read from the socket
 constexpr KeepaliveSettings DataKeepalive { 30, 10, 3, 20'000 };
 
 } // namespace internal
@@ -89,7 +89,7 @@
 
 DataAwaitable<error_code> HttpStream::readSome()
 {
-    // The deadline may have passed between two reads, when there was none to cancel.
+    // The deadline may have passed between two reads, when no read could be cancelled.
     if (m_timedOut) {
         co_return asio::error::timed_out;
     }
@@ -105,7 +105,8 @@
     if (m_buffer.size() > 0) {
         co_return error_code {};
     }
-    // An idle connection keeps no read buffer: maxSize of an idle caller's memory would be that.
+    // An idle connection keeps no read buffer, because the buffer would be the largest part of the memory of an idle
+    // caller.
     m_buffer.shrink_to_fit();
     error_code error;
     co_await m_socket.async_wait(asio::socket_base::wait_read, asio::redirect_error(UseData, error));
--- a/src/net/peerconnection.cpp
+++ b/src/net/peerconnection.cpp
@@ -31,7 +31,7 @@
 {
     std::string nonce(NonceSize, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(nonce.data()), static_cast<int>(nonce.size())) != 1) {
-        throw std::runtime_error("no random numbers");
+        throw std::runtime_error("random number generator failed");
     }
     return nonce;
 }
--- a/src/net/peertransport.cpp
+++ b/src/net/peertransport.cpp
@@ -31,18 +31,19 @@
 using internal::addLengthPrefix;
 using internal::PeerConnection;
 
-// Larger than any datagram can be, so that a datagram beyond the limit is seen as such and not cut.
+// Larger than any datagram, so that an oversized datagram is detected and not truncated.
 constexpr std::size_t ReceiveBufferSize = 65'536;
 
-// A flood of bad messages must not become a flood of log lines.
+// Limits the log lines for rejected messages, so that a flood of bad messages doesn't flood the log.
 constexpr Seconds RefusalLogInterval { 1 };
 
 constexpr Millis AcceptRetryDelay { 50 };
 
 constexpr int MaxPortAttempts = 20;
 
-// What binds a call to one connection: a signed request taken from the wire fits neither another receiver nor another
-// connection, since the receiver drew the nonce a moment ago. Calls therefore need no memory of sequence numbers.
+// Returns the destination that binds a call to one connection. A captured signed request fits neither another receiver
+// nor another connection, because the receiver generates a new nonce for each connection. Calls therefore need no
+// stored sequence numbers.
 std::string callDestination(const Endpoint &receiver, std::string_view nonce)
 {
     std::string destination = toString(receiver);
@@ -94,15 +95,15 @@
     tcp::acceptor acceptor;
     boost::intrusive::list<PeerConnection, boost::intrusive::constant_time_size<false>> connections;
     Sequence nextSequence = 1;
-    std::size_t bodyBytes = 0; // of the payloads of calls being answered
+    std::size_t bodyBytes = 0; // of the payloads of calls in progress
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
     EventThrottle refusals { RefusalLogInterval };
     bool running = false;
 };
 
-// A port that the system picked for UDP may be taken for TCP; then another one is tried. A port that was asked for is
-// never replaced.
+// A port that the system selected for UDP may be in use for TCP. In that case another port is tried. A configured port
+// is never replaced.
 void PeerTransport::Private::bind()
 {
     error_code error = bindPort();
@@ -182,7 +183,7 @@
         if (!running) {
             co_return;
         }
-        // An error here is the echo of a datagram sent to a closed port; it says nothing about this socket.
+        // An error here was caused by a datagram sent to a closed port and doesn't concern this socket.
         if (!error) {
             received += size;
             handleDatagram(std::string_view(buffer).substr(0, size), from);
@@ -190,10 +191,11 @@
     }
 }
 
-// Playing an authentic datagram back: to the same process, the replay guard drops it; to another address, the
-// destination doesn't match. What remains is a process that was restarted at the same address and gets what was meant
-// for the one before it. Datagrams carry only statements that are bound to an incarnation and a counter or an offset
-// (gossip, pushed edits, evidence), which are stale or known then; anything that must not be repeated goes by call.
+// Replays of an authentic datagram: at the same process the replay guard drops them, and at another address the
+// destination doesn't match. One case remains: a process that was restarted at the same address receives a datagram for
+// its predecessor. Datagrams therefore carry only statements that are bound to an incarnation and a counter or an
+// offset (gossip, pushed edits, evidence). In this case those are stale or already known. Messages that must not be
+// repeated are sent as calls.
 void PeerTransport::Private::handleDatagram(std::string_view bytes, const udp::endpoint &from)
 {
     const auto fromText = [&from] {
@@ -230,7 +232,7 @@
             co_return;
         }
         if (error) {
-            // Out of descriptors, most likely: trying again at once would spin.
+            // The most likely cause is a lack of file descriptors. Retrying at once would spin.
             Timer retryTimer(context, AcceptRetryDelay);
             co_await retryTimer.async_wait(redirect_error(use_awaitable, error));
             continue;
@@ -335,16 +337,16 @@
     }
     const auto response = unseal(*frame, settings.fleetKeys);
     if (!response || response->channel != PeerChannel::Response || response->destination != destination) {
-        refuse(toString(to), "answer is not authentic");
-        co_return failure(ErrorKind::PeerLost, "answer is not authentic");
+        refuse(toString(to), "response is not authentic");
+        co_return failure(ErrorKind::PeerLost, "response is not authentic");
     }
     const auto summary = decodePayloadSummary(response->payload);
     if (!summary || summary->size > settings.maxCall) {
-        co_return failure(ErrorKind::PeerLost, "answer is too large or unreadable");
+        co_return failure(ErrorKind::PeerLost, "response is too large or unreadable");
     }
     auto body = co_await connection->readBytes(summary->size);
     if (!body || !matches(*summary, *body)) {
-        co_return failure(ErrorKind::PeerLost, "answer is incomplete");
+        co_return failure(ErrorKind::PeerLost, "response is incomplete");
     }
     if (summary->failed) {
         co_return failure(errorKindFromString(summary->errorName).value_or(ErrorKind::Internal), *std::move(body));
@@ -357,7 +359,7 @@
 {
     m_d->dropHook = &dropHook;
     if (m_d->settings.fleetKeys.empty()) {
-        throw std::invalid_argument("a fleet key is needed");
+        throw std::invalid_argument("at least one fleet key is required");
     }
 }
 
@@ -394,7 +396,7 @@
     for (PeerConnection &connection : m_d->connections) {
         connection.close();
     }
-    // Handlers belong to others, who may go once this returns.
+    // The owners of the handlers may be destroyed after this returns.
     m_d->datagramHandlers.clear();
     m_d->callHandlers.clear();
     m_d->events = {};
@@ -406,7 +408,7 @@
     message.sequence = m_d->nextSequence++;
     const std::string bytes = seal(message, m_d->settings.fleetKeys.front());
     if (bytes.size() > m_d->settings.maxDatagram) {
-        return failure(ErrorKind::BodyTooLarge, "payload beyond the largest datagram");
+        return failure(ErrorKind::BodyTooLarge, "payload exceeds the maximum datagram size");
     }
     if (m_d->dropped(to, true)) {
         return {};
@@ -426,14 +428,14 @@
 awaitable<Result<std::string>> PeerTransport::call(
     Endpoint to, PeerKind kind, std::string payload, Duration timeout, Duration bodyTimeout)
 {
-    const std::shared_ptr<Private> self = m_d; // keeps it alive when this object goes first
+    const std::shared_ptr<Private> self = m_d; // keeps the state alive if this object is destroyed first
     if (payload.size() > self->settings.maxCall) {
-        co_return failure(ErrorKind::BodyTooLarge, "payload beyond the largest call");
+        co_return failure(ErrorKind::BodyTooLarge, "payload exceeds the maximum call size");
     }
     error_code error;
     const auto address = boost::asio::ip::make_address(to.host, error);
     if (error || self->dropped(to, true)) {
-        co_return failure(ErrorKind::ConnectFailed, "no way to " + toString(to));
+        co_return failure(ErrorKind::ConnectFailed, "can't reach " + toString(to));
     }
     auto connection = std::make_shared<PeerConnection>(tcp::socket(self->context));
     self->connections.push_back(*connection);
@@ -443,7 +445,7 @@
     }
     auto nonce = co_await connection->readBytes(internal::NonceSize);
     if (!nonce) {
-        co_return failure(ErrorKind::ConnectFailed, "no greeting from " + toString(to));
+        co_return failure(ErrorKind::ConnectFailed, "no nonce from " + toString(to));
     }
     auto result = co_await self->exchange(connection, to, *std::move(nonce), kind, payload, bodyTimeout);
     self->sent += connection->takeSent();
@@ -454,7 +456,7 @@
 void PeerTransport::setFleetKeys(std::vector<std::string> keys)
 {
     if (keys.empty()) {
-        throw std::invalid_argument("a fleet key is needed");
+        throw std::invalid_argument("at least one fleet key is required");
     }
     m_d->settings.fleetKeys = std::move(keys);
     if (m_d->events) {
--- a/src/net/peertransporttest.cpp
+++ b/src/net/peertransporttest.cpp
@@ -29,7 +29,7 @@
     return settings;
 }
 
-// Someone on the network: sends what bytes it likes.
+// Sends arbitrary bytes from an unauthenticated sender.
 void sendBytes(boost::asio::io_context &context, const std::string &bytes, const Endpoint &to)
 {
     boost::asio::ip::udp::socket socket(context, { boost::asio::ip::make_address("127.0.0.1"), 0 });
@@ -121,7 +121,7 @@
     CHECK_FALSE(alice.send(bob.advertised(), PeerKind::Membership, tooLarge).has_value());
 }
 
-// Failure: state that was true a while ago comes back, on one proxy only.
+// Guards against old state that is restored on one proxy by a replayed datagram.
 TEST(PeerTransport, replayedDatagramIsRejectedByItsReceiverAndByOthers)
 {
     PeerEnvelope message;
@@ -161,7 +161,7 @@
     CHECK_TRUE(callBob("anyone").error().kind == ErrorKind::ConnectFailed);
 }
 
-// Failure: while the fleet key is being changed, part of the fleet can't hear the rest.
+// Guards against a part of the fleet that can't communicate with the rest while the fleet key is changed.
 TEST(PeerTransport, keyRotatesInTwoStepsWithoutInterruption)
 {
     alice.setFleetKeys({ "key", "next" });
@@ -176,7 +176,7 @@
     CHECK_FALSE(callBob("x").has_value());
 }
 
-// Failure: a proxy runs out of memory or ends without a trace of its peers.
+// Guards against a proxy that runs out of memory or terminates because of data from unauthenticated senders.
 TEST(PeerTransport, unauthenticatedConnectionsAreClosedAndPeersStillServed)
 {
     PeerTransportSettings settings = settingsOf("carol", { "key" });
--- a/src/net/prober.cpp
+++ b/src/net/prober.cpp
@@ -61,7 +61,8 @@
         for (TargetState &target : served->state->targets()) {
             const TargetId id = targetId(target.health.target);
             Instant &next = m_nextProbe[id];
-            // One's own suspicion that the others don't share, or the other way round: a second look helps.
+            // This proxy and the others disagree about the suspicion of the target. An additional probe helps to
+            // resolve that.
             const bool viewsDisagree = target.health.pathOnly;
             if (now < next || !isOwnProbe(proxies, id, viewsDisagree)) {
                 continue;
--- a/src/net/reportbatch.cpp
+++ b/src/net/reportbatch.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-// Silence is told in steps of a fifth of a second and more; an answer that ends it takes back what was told before.
+// Missing responses are reported in steps of a fifth of a second and more. A response that arrives later withdraws
+// these reports.
 bool canWait(const AttemptReport &report)
 {
     return report.result == AttemptResult::Timeout || report.result == AttemptResult::Success;
--- a/src/net/reportbatchtest.cpp
+++ b/src/net/reportbatchtest.cpp
@@ -33,7 +33,7 @@
     CHECK_FALSE(batch.due().has_value());
 }
 
-// Failure: two gateways lose a request to a target in the same moment.
+// Guards against two gateways that lose a request to the same faulty target at the same time.
 TEST(ReportBatch, failureIsSentAtOnceWithAllPendingReports)
 {
     for (const AttemptResult result :
--- a/src/net/targetpool.cpp
+++ b/src/net/targetpool.cpp
@@ -11,13 +11,13 @@
 namespace
 {
 
-// A request must reach the target before the target closes the connection. Targets tell the time that they keep one in
-// whole seconds, so a limit that was rounded up is met too.
+// A request must reach the target before the target closes the connection. Targets announce the time in whole seconds.
+// The margin covers a value that was rounded up.
 constexpr Duration KeepAliveMargin = Seconds(1);
 
 } // namespace
 
-// Returns how long the connection may be idle and still be used.
+// Returns how long the connection may be idle and still be used, up to `maxIdle`.
 Duration idleLimit(const TargetConnection &connection, Duration maxIdle)
 {
     return connection.keepAliveTimeout ? std::min(maxIdle, *connection.keepAliveTimeout - KeepAliveMargin) : maxIdle;
@@ -40,7 +40,7 @@
     }
 }
 
-// The list holds one reference for each connection in it; pop() hands that reference on.
+// The list holds one reference for each connection in it. pop() transfers that reference to the caller.
 TargetConnectionPtr TargetPool::pop(Idle &idle)
 {
     if (idle.list.empty()) {
