--- a/include/mulberryplank/net/callercontext.h
+++ b/include/mulberryplank/net/callercontext.h
@@ -26,7 +26,7 @@
     Duration headerTime = Seconds(10); // from a header's first byte to its last
     Duration idleTime = Seconds(60); // between two requests
     Duration bodyPause = Seconds(30); // between two pieces of a request's body
-    Duration writePause = Seconds(30); // for a caller to take a piece of an answer
+    Duration writeTimeout = Seconds(30); // for a caller to take a piece of an answer
     Duration closePause = Seconds(2); // for a caller to stop sending after an answer that closes its connection
     Duration connectTime = Seconds(1); // for a target to take a connection
     Duration silentTime = Seconds(1); // after which a reused connection without a byte of answer is taken as dead
--- a/include/mulberryplank/net/callersession.h
+++ b/include/mulberryplank/net/callersession.h
@@ -44,12 +44,12 @@
     DataAwaitable<Result<void>> readBody(Request &request, Instant deadline, bool keyed);
     DataAwaitable<Result<void>> readWholeBody(Request &request, Instant deadline, std::size_t most);
     DataAwaitable<bool> refuse(const Request &request, const Error &error);
-    DataAwaitable<bool> answer(const Request &request, OwnAnswer answer);
+    DataAwaitable<bool> answer(const Request &request, LocalResponse answer);
     DataAwaitable<bool> relay(Request &request);
     DataAwaitable<bool> relayOnce(Request &request, ExchangeRequest exchange, std::string key);
     DataAwaitable<bool> runExchange(Request &request, ExchangeRequest exchange);
-    DataAwaitable<bool> conclude(const Request &request, const ExchangeEnd &end);
-    DataAwaitable<bool> answerOnceDecision(const Request &request, const OnceDecision &decision);
+    DataAwaitable<bool> conclude(const Request &request, const ExchangeResult &end);
+    DataAwaitable<bool> answerOnceDecision(const Request &request, const AtMostOnceDecision &decision);
     DataAwaitable<bool> forwardToPeer(Request &request, ExchangeRequest exchange, Endpoint peer);
     DataAwaitable<bool> serveInternal(Request &request);
     Result<void> identify(Request &request);
--- a/include/mulberryplank/net/gatewaysession.h
+++ b/include/mulberryplank/net/gatewaysession.h
@@ -17,7 +17,7 @@
     // Waits for routes while this process has just started and may have them in a moment.
     std::function<DataAwaitable<void>()> awaitRoutes;
     // Brings the list of targets up to date, where nobody has needed it for a while. False: it can't be had.
-    std::function<DataAwaitable<bool>()> needTargets;
+    std::function<DataAwaitable<bool>()> ensureTargets;
     bool draining = false; // answers end their connections
     bool closing = false; // new requests are refused
     std::uint64_t inFlight = 0; // requests under way
@@ -46,16 +46,16 @@
     DataAwaitable<Result<void>> readBody(Request &request);
     Result<ForwardRequest> prepare(Request &request);
     DataAwaitable<bool> forward(Request &request);
-    DataAwaitable<bool> passOn(Request &request, ForwardedAnswer answer);
-    DataAwaitable<bool> passRest(Request &request, ForwardedAnswer &answer);
+    DataAwaitable<bool> passOn(Request &request, ForwardedResponse response);
+    DataAwaitable<bool> passRest(Request &request, ForwardedResponse &response);
     DataAwaitable<bool> refuse(const Request &request, const Error &error, Outcome outcome);
     std::string retryAfter(const Request &request) const;
     void noteEnd(const Request &request, Outcome outcome, std::optional<ErrorKind> error);
-    void logEnd(const Request &request, const ForwardEnd &end);
+    void logEnd(const Request &request, const ForwardResult &end);
 
     GatewayContext &m_context;
     HttpStream m_stream;
-    bool m_answered = false; // the last thing that happened was an answer
+    bool m_answered = false; // the last thing that happened was an response
 };
 
 } // namespace mulberryplank
--- a/src/app/proxyprocess.h
+++ b/src/app/proxyprocess.h
@@ -64,7 +64,7 @@
     bool knowsFleet() const;
     void followConfiguration();
     void setUpFleet();
-    void tellCarriers(const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant now);
+    void tellCarriers(const ServiceName &service, const std::vector<AssignedPeer> &carriers, bool mine, Instant now);
     MemberServiceSettings memberSettings() const;
     std::optional<ServiceAccess> findService(const ServiceName &name) const;
     Result<std::string> locate(const ServiceName &service, const AccountName &account) const;
--- a/src/net/callerserver.cpp
+++ b/src/net/callerserver.cpp
@@ -28,8 +28,8 @@
 // Tells a caller beyond the limit to come back, without reading anything from it.
 void turnAway(DataSocket &socket)
 {
-    const OwnAnswer answer = errorAnswerFor(ErrorKind::TooManyConnections, Outcome::NotRun, 1, "", "");
-    const std::string bytes = ownAnswerBytes(answer, "", false, false);
+    const LocalResponse answer = errorResponseFor(ErrorKind::TooManyConnections, Outcome::NotRun, 1, "", "");
+    const std::string bytes = localResponseBytes(answer, "", false, false);
     error_code ignored;
     socket.non_blocking(true, ignored);
     socket.write_some(asio::buffer(bytes), ignored);
--- a/src/net/callersession.cpp
+++ b/src/net/callersession.cpp
@@ -99,8 +99,8 @@
     }
     if (request.expectsContinue) {
         request.expectsContinue = false;
-        m_stream.expiresAt(Clock::now() + m_context.limits.writePause);
-        const error_code error = co_await m_stream.write(asio::buffer(ContinueAnswer));
+        m_stream.expiresAt(Clock::now() + m_context.limits.writeTimeout);
+        const error_code error = co_await m_stream.write(asio::buffer(ContinueResponse));
         if (error) {
             co_return failure(ErrorKind::Cancelled, "the caller has gone");
         }
@@ -159,12 +159,12 @@
     co_return goesOn &&m_stream.socket().is_open();
 }
 
-DataAwaitable<bool> CallerSession::answer(const Request &request, OwnAnswer answer)
+DataAwaitable<bool> CallerSession::answer(const Request &request, LocalResponse answer)
 {
     // What is left of the request's body would be taken for the next request.
     const bool keepAlive = request.keepAlive && request.bodyComplete && !m_context.closing;
-    const std::string bytes = ownAnswerBytes(answer, request.id, keepAlive, request.head);
-    m_stream.expiresAt(Clock::now() + m_context.limits.writePause);
+    const std::string bytes = localResponseBytes(answer, request.id, keepAlive, request.head);
+    m_stream.expiresAt(Clock::now() + m_context.limits.writeTimeout);
     const error_code error = co_await m_stream.write(asio::buffer(bytes));
     m_answered = !error;
     co_return !error && keepAlive;
@@ -176,7 +176,7 @@
     const ErrorAnswer &row = errorAnswer(error.kind);
     // Nothing was sent to a target yet, whatever the table must allow for in general.
     co_return co_await answer(
-        request, errorAnswerFor(error.kind, Outcome::NotRun, row.retryAfterSeconds, error.detail, request.id));
+        request, errorResponseFor(error.kind, Outcome::NotRun, row.retryAfterSeconds, error.detail, request.id));
 }
 
 Result<void> CallerSession::identify(Request &request)
@@ -268,7 +268,7 @@
         return tl::make_unexpected(deadline.error());
     }
     exchange.deadline = *deadline;
-    exchange.deadlineIsCallers = deadline->at() < request.arrived + exchange.route.timeout;
+    exchange.deadlineFromCaller = deadline->at() < request.arrived + exchange.route.timeout;
     exchange.access = std::move(*access);
     exchange.parser = &request.parser;
     exchange.caller = &m_stream;
@@ -289,7 +289,7 @@
         const bool goesOn = co_await refuse(request, exchange.error());
         co_return goesOn &&exchange.error().kind != ErrorKind::TooManyConnections;
     }
-    const std::string key(fieldValue(request.parser.get(), OnceKeyHeader));
+    const std::string key(fieldValue(request.parser.get(), IdempotencyKeyHeader));
     const bool keyed = !key.empty() && !exchange->route.idempotent;
     const Result<void> body = co_await readBody(request, exchange->deadline.at(), keyed);
     if (!body) {
@@ -308,14 +308,14 @@
 DataAwaitable<bool> CallerSession::runExchange(Request &request, ExchangeRequest exchange)
 {
     const boost::intrusive_ptr<Exchange> running(new Exchange(m_worker, m_context, std::move(exchange)));
-    const ExchangeEnd end = co_await running->run();
+    const ExchangeResult end = co_await running->run();
     request.bodyComplete = request.parser.is_done();
     co_return co_await conclude(request, end);
 }
 
-DataAwaitable<bool> CallerSession::conclude(const Request &request, const ExchangeEnd &end)
+DataAwaitable<bool> CallerSession::conclude(const Request &request, const ExchangeResult &end)
 {
-    if (end.callerGone) {
+    if (end.callerDisconnected) {
         ++m_context.counters.aborted;
         abortConnection(m_stream);
         co_return false;
@@ -325,7 +325,7 @@
         ++m_context.counters.answered;
         m_answered = true;
         co_return request.keepAlive &&request.bodyComplete;
-    case StepKind::Answer: {
+    case StepKind::Respond: {
         ++m_context.counters.refused;
         m_context.events(Event::RequestFailed,
                          { { "account", request.account.value() },
@@ -334,7 +334,7 @@
                            { "kind", std::string(toString(end.step.error)) },
                            { "outcome", std::string(toString(end.step.outcome)) } });
         co_return co_await answer(
-            request, errorAnswerFor(end.step.error, end.step.outcome, end.step.retryAfterSeconds, "", request.id));
+            request, errorResponseFor(end.step.error, end.step.outcome, end.step.retryAfterSeconds, "", request.id));
     }
     default:
         ++m_context.counters.aborted;
@@ -356,7 +356,7 @@
         if (!m_context.ready) {
             co_return co_await refuse(request, Error { ErrorKind::NotReady, "this process has no configuration yet" });
         }
-        co_return co_await answer(request, OwnAnswer { 200, "{\"ready\":true}\n", Outcome::Answered, 0, {} });
+        co_return co_await answer(request, LocalResponse { 200, "{\"ready\":true}\n", Outcome::Answered, 0, {} });
     }
     const Result<void> identified = identify(request);
     if (!identified) {
@@ -370,7 +370,7 @@
     if (!located) {
         co_return co_await refuse(request, located.error());
     }
-    OwnAnswer answered { 200, *located, Outcome::Answered, 0, {} };
+    LocalResponse answered { 200, *located, Outcome::Answered, 0, {} };
     answered.fields.emplace_back("X-Once-Token", toString(m_context.once->token(Clock::now())));
     co_return co_await answer(request, std::move(answered));
 }
--- a/src/net/callersessiononce.cpp
+++ b/src/net/callersessiononce.cpp
@@ -41,11 +41,11 @@
         }
     }
 
-    void finish(const ExchangeEnd &end)
+    void finish(const ExchangeResult &end)
     {
         m_finished = true;
         if (end.kind == StepKind::Finish && end.stored) {
-            m_once.finishAnswered(m_account, m_key, *end.stored);
+            m_once.finishWithResponse(m_account, m_key, *end.stored);
             return;
         }
         // An answer that was too large to keep can't be given again: the repeat is told that it ran.
@@ -68,64 +68,64 @@
     const std::string_view method(message.method_string().data(), message.method_string().size());
     const bool forwarded = !fieldValue(message, internal::ForwardedHeader).empty();
     message.erase(std::string(internal::ForwardedHeader));
-    const OnceSource source = forwarded ? OnceSource::Peer : OnceSource::Caller;
+    const RequestSource source = forwarded ? RequestSource::Peer : RequestSource::Caller;
     const std::uint64_t fingerprint = requestFingerprint(method, request.path, exchange.body);
-    const OnceDecision decision =
+    const AtMostOnceDecision decision =
         m_context.once->begin(request.account, request.service, key, fingerprint, Clock::now(), source);
-    if (decision.kind == OnceDecisionKind::ForwardTo) {
+    if (decision.kind == AtMostOnceDecisionKind::ForwardTo) {
         const std::optional<Endpoint> peer = m_context.memberAddress(decision.incarnation);
         if (peer) {
             co_return co_await forwardToPeer(request, std::move(exchange), *peer);
         }
-        co_return co_await answerOnceDecision(request, OnceDecision {});
+        co_return co_await answerOnceDecision(request, AtMostOnceDecision {});
     }
-    if (decision.kind != OnceDecisionKind::Run) {
+    if (decision.kind != AtMostOnceDecisionKind::Run) {
         co_return co_await answerOnceDecision(request, decision);
     }
     internal::OnceRun run(*m_context.once, request.account, key);
-    exchange.storeAnswerUpTo = internal::StoredAnswerBytes;
+    exchange.maxStoredResponseBytes = internal::StoredAnswerBytes;
     exchange.outlivesCaller = true;
     const boost::intrusive_ptr<Exchange> running(new Exchange(m_worker, m_context, std::move(exchange)));
-    const ExchangeEnd end = co_await running->run();
+    const ExchangeResult end = co_await running->run();
     request.bodyComplete = request.parser.is_done();
     run.finish(end);
     co_return co_await conclude(request, end);
 }
 
-DataAwaitable<bool> CallerSession::answerOnceDecision(const Request &request, const OnceDecision &decision)
+DataAwaitable<bool> CallerSession::answerOnceDecision(const Request &request, const AtMostOnceDecision &decision)
 {
-    OwnAnswer own;
+    LocalResponse own;
     switch (decision.kind) {
-    case OnceDecisionKind::Replay:
+    case AtMostOnceDecisionKind::Replay:
         own.status = decision.answer->status;
         own.body = decision.answer->body;
         own.fields = decision.answer->headers;
         own.fields.emplace_back(internal::ReplayHeader, "1");
         co_return co_await answer(request, std::move(own));
-    case OnceDecisionKind::InProgress:
-        own =
-            errorAnswerFor(ErrorKind::RepeatInProgress, Outcome::Unknown, 1, "the first one is under way", request.id);
+    case AtMostOnceDecisionKind::InProgress:
+        own = errorResponseFor(
+            ErrorKind::RepeatInProgress, Outcome::Unknown, 1, "the first one is under way", request.id);
         break;
-    case OnceDecisionKind::KeyReused:
-        own =
-            errorAnswerFor(ErrorKind::KeyReused, Outcome::NotRun, 0, "the key stands for another request", request.id);
+    case AtMostOnceDecisionKind::KeyReused:
+        own = errorResponseFor(
+            ErrorKind::KeyReused, Outcome::NotRun, 0, "the key stands for another request", request.id);
         break;
-    case OnceDecisionKind::Full: {
+    case AtMostOnceDecisionKind::Full: {
         const auto wait = std::chrono::ceil<Seconds>(decision.retryAfter).count();
-        own = errorAnswerFor(
+        own = errorResponseFor(
             ErrorKind::RateLimited, Outcome::NotRun, static_cast<int>(wait), "too many keys", request.id);
         break;
     }
-    case OnceDecisionKind::KeyRequired:
-        own = errorAnswerFor(
+    case AtMostOnceDecisionKind::KeyRequired:
+        own = errorResponseFor(
             ErrorKind::KeyRequired, Outcome::NotRun, 0, "the key must begin with X-Once-Token", request.id);
         break;
     default:
-        own = errorAnswerFor(ErrorKind::RepeatUnknown,
-                             Outcome::Unknown,
-                             0,
-                             "the process that knows what became of this key is gone",
-                             request.id);
+        own = errorResponseFor(ErrorKind::RepeatUnknown,
+                               Outcome::Unknown,
+                               0,
+                               "the process that knows what became of this key is gone",
+                               request.id);
         break;
     }
     own.fields.emplace_back(internal::TokenHeader, toString(m_context.once->token(Clock::now())));
@@ -159,7 +159,7 @@
     if (!error) {
         error = co_await stream.readHeader(parser);
     }
-    StoredAnswer answer;
+    StoredResponse answer;
     while (!error && !parser.is_done() && answer.body.size() <= internal::ForwardedAnswerBytes) {
         std::array<char, 4096> buffer {};
         const BodyPiece piece = co_await stream.readBody(parser, boost::asio::buffer(buffer));
@@ -167,19 +167,19 @@
         answer.body.append(buffer.data(), piece.size);
     }
     if (error || !parser.is_done()) {
-        OwnAnswer own =
-            errorAnswerFor(ErrorKind::RepeatInProgress,
-                           Outcome::Unknown,
-                           1,
-                           "the process that decides on this key can't be reached; repeat with the same key",
-                           request.id);
+        LocalResponse own =
+            errorResponseFor(ErrorKind::RepeatInProgress,
+                             Outcome::Unknown,
+                             1,
+                             "the process that decides on this key can't be reached; repeat with the same key",
+                             request.id);
         ++m_context.counters.refused;
         co_return co_await this->answer(request, std::move(own));
     }
-    OwnAnswer own;
+    LocalResponse own;
     own.status = static_cast<int>(parser.get().result_int());
     own.body = std::move(answer.body);
-    own.fields = fieldsToKeep(parser);
+    own.fields = fieldsToStore(parser);
     const std::string_view outcome = fieldValue(parser.get(), "X-Outcome");
     own.outcome = outcome == "answered" ? Outcome::Answered : outcome == "not-run" ? Outcome::NotRun : Outcome::Unknown;
     co_return co_await this->answer(request, std::move(own));
--- a/src/net/exchangetest.cpp
+++ b/src/net/exchangetest.cpp
@@ -12,7 +12,7 @@
     ScriptedTarget other;
 };
 
-TEST(Exchange, PassesAnAnswerOnAndKeepsBothConnections)
+TEST(Exchange, ForwardsResponsesAndReusesBothConnections)
 {
     TestProxy proxy({ target.port() });
     Peer caller = proxy.caller();
@@ -32,7 +32,7 @@
 }
 
 // Failure: a caller takes the half of a file for the whole.
-TEST(Exchange, AbortsTheCallerWhenABodyBreaksOff)
+TEST(Exchange, ResetsTheCallerConnectionWhenABodyIsTruncated)
 {
     for (const bool chunked : { false, true }) {
         const std::string part = chunked ? "5\r\nhalf!\r\n" : "half!";
@@ -52,7 +52,7 @@
 }
 
 // Failure: a download hangs for ever, or its second half belongs to another version.
-TEST(Exchange, ContinuesAStalledDownloadFromAnotherTarget)
+TEST(Exchange, ResumesAStalledDownloadFromAnotherTarget)
 {
     TestProxy proxy({ target.port(), other.port() }, { routeForAll(true, Seconds(20), Millis(100)) });
     Peer caller = proxy.caller();
@@ -74,17 +74,17 @@
 }
 
 // Failure: a caller gets the answer to another caller's request.
-TEST(Exchange, NeverReusesAConnectionWhoseRequestWasGivenUp)
+TEST(Exchange, NeverReusesAConnectionWhoseRequestWasAbandoned)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false, Millis(100)) });
     Peer caller = proxy.caller();
     caller.write(TestProxy::request("GET", "/late"));
     Peer abandoned = target.accept();
-    const std::string late = abandoned.readHeader();
+    const std::string lateRequest = abandoned.readHeader();
     const std::string refusal = caller.readHeader();
     CHECK_TRUE(contains(refusal, "X-Outcome: unknown\r\n"));
     caller.read(std::stoul(field(refusal, "Content-Length")));
-    abandoned.write(answerTo(late, "late"));
+    abandoned.write(answerTo(lateRequest, "late"));
     CHECK_TRUE(abandoned.readToEnd().empty());
     caller.write(TestProxy::request("GET", "/next"));
     Peer connection = target.accept();
@@ -94,7 +94,7 @@
 }
 
 // Failure: as above.
-TEST(Exchange, RefusesAnAnswerWithAnotherRequestsId)
+TEST(Exchange, RejectsAResponseWithAnotherRequestsId)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false) });
     Peer caller = proxy.caller();
@@ -108,7 +108,7 @@
     CHECK_TRUE(mixed.readToEnd().empty());
 }
 
-TEST(Exchange, DropsAPooledConnectionOnWhichUnaskedBytesWait)
+TEST(Exchange, DropsAPooledConnectionWithUnexpectedInput)
 {
     TestProxy proxy({ target.port() });
     Peer caller = proxy.caller();
@@ -125,20 +125,20 @@
 }
 
 // Failure: an order is placed twice.
-TEST(Exchange, SendsARequestThatIsNotIdempotentOnceAfterAByteHasLeft)
+TEST(Exchange, SendsANonIdempotentRequestOnceAfterAByteWasSent)
 {
     enum class Fault {
         ResetAtOnce,
         ResetAfterHeader,
         CloseAfterHeader,
-        HalfAnAnswer,
-        Silence
+        PartialResponse,
+        NoResponse
     };
     for (const Fault fault : { Fault::ResetAtOnce,
                                Fault::ResetAfterHeader,
                                Fault::CloseAfterHeader,
-                               Fault::HalfAnAnswer,
-                               Fault::Silence }) {
+                               Fault::PartialResponse,
+                               Fault::NoResponse }) {
         TestProxy proxy({ target.port(), other.port() }, { routeForAll(false, Millis(300)) });
         Peer caller = proxy.caller();
         caller.write(TestProxy::request("POST", "/order", "Content-Length: 4\r\n") + "book");
@@ -147,12 +147,12 @@
         if (fault != Fault::ResetAtOnce) {
             connection.readHeader();
         }
-        if (fault == Fault::HalfAnAnswer) {
+        if (fault == Fault::PartialResponse) {
             connection.write("HTTP/1.1 200 O");
         }
-        if (fault == Fault::CloseAfterHeader || fault == Fault::HalfAnAnswer) {
+        if (fault == Fault::CloseAfterHeader || fault == Fault::PartialResponse) {
             connection.close();
-        } else if (fault != Fault::Silence) {
+        } else if (fault != Fault::NoResponse) {
             connection.reset();
         }
         const std::string refusal = caller.readHeader();
@@ -163,7 +163,7 @@
 }
 
 // Failure: callers see failures while healthy targets stand by.
-TEST(Exchange, MovesOnWhileNothingHasRun)
+TEST(Exchange, RetriesAtAnotherTargetWhileNothingHasRun)
 {
     TestProxy proxy({ target.port(), other.port() }, { routeForAll(false) });
     Peer caller = proxy.caller();
@@ -179,7 +179,7 @@
     STRCMP_EQUAL("done", caller.read(4).c_str());
 }
 
-TEST(Exchange, MovesOnFromATargetThatTakesNoConnection)
+TEST(Exchange, RetriesAtAnotherTargetWhenConnectingFails)
 {
     const std::uint16_t refusing = target.port();
     target.close();
@@ -195,7 +195,7 @@
     }
 }
 
-TEST(Exchange, AnswersNotRunWhenNoTargetTakesAConnection)
+TEST(Exchange, RespondsNotRunWhenNoTargetAcceptsAConnection)
 {
     const std::uint16_t port = target.port();
     target.close();
@@ -206,7 +206,7 @@
 }
 
 // Failure: targets work for callers that have long gone.
-TEST(Exchange, CancelsTheTargetsWorkWhenTheCallerCloses)
+TEST(Exchange, CancelsTheTargetsWorkWhenTheCallerDisconnects)
 {
     for (const bool streamed : { false, true }) {
         TestProxy proxy({ target.port() }, { routeForAll(false, Seconds(60)) }); // longer than the test waits
@@ -223,7 +223,7 @@
 }
 
 // Failure: an upload hangs until its deadline although the target has refused it.
-TEST(Exchange, PassesAnEarlyAnswerOnWhileABodyIsBeingSent)
+TEST(Exchange, ForwardsAnEarlyResponseWhileABodyIsBeingSent)
 {
     TestProxy proxy({ target.port() });
     Peer caller = proxy.caller();
@@ -241,8 +241,8 @@
     CHECK_TRUE(!caller.ended() || caller.ended() == asio::error::eof);
 }
 
-// Failure: the final answer comes as late as the caller's next piece of body.
-TEST(Exchange, AnswersAtTheDeadlineWhileTheCallersBodyPauses)
+// Failure: the final answer comes as lateRequest as the caller's next piece of body.
+TEST(Exchange, RespondsAtTheDeadlineWhileTheCallersBodyStalls)
 {
     TestProxy proxy({ target.port() }, { routeForAll(false, Millis(200)) });
     Peer caller = proxy.caller();
@@ -252,19 +252,19 @@
 }
 
 // Failure: requests to a healthy target wait until they time out, and the target is blamed.
-TEST(Exchange, TriesAFreshConnectionWhenAReusedOneIsSilent)
+TEST(Exchange, TriesANewConnectionWhenAReusedOneIsUnresponsive)
 {
     CallerLimits limits;
     limits.silentTime = Millis(50);
     TestProxy proxy({ target.port() }, { routeForAll(true) }, limits);
     Peer caller = proxy.caller();
     caller.write(TestProxy::request("GET", "/one"));
-    Peer silent = target.accept();
-    silent.write(answerTo(silent.readHeader(), "one"));
+    Peer unresponsive = target.accept();
+    unresponsive.write(answerTo(unresponsive.readHeader(), "one"));
     caller.readHeader();
     caller.read(3);
     caller.write(TestProxy::request("GET", "/two"));
-    silent.readHeader();
+    unresponsive.readHeader();
     Peer fresh = target.accept();
     fresh.write(answerTo(fresh.readHeader(), "two"));
     CHECK_TRUE(caller.readHeader().starts_with("HTTP/1.1 200"));
--- a/src/net/gatewayserver.cpp
+++ b/src/net/gatewayserver.cpp
@@ -67,9 +67,9 @@
             asio::co_spawn(worker.context, internal::runSession(std::move(socket), m_context), asio::detached);
         } else {
             ++m_context.connectionsRefused;
-            const OwnAnswer answer = errorAnswerFor(ErrorKind::TooManyConnections, Outcome::NotRun, 1, "", "");
+            const LocalResponse answer = errorResponseFor(ErrorKind::TooManyConnections, Outcome::NotRun, 1, "", "");
             socket.non_blocking(true, error);
-            socket.write_some(asio::buffer(ownAnswerBytes(answer, "", false, false)), error);
+            socket.write_some(asio::buffer(localResponseBytes(answer, "", false, false)), error);
         }
     }
 }
--- a/src/net/gatewaysession.cpp
+++ b/src/net/gatewaysession.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::size_t BodyPieceSize = 16 * 1024;
 constexpr Duration BodyPause = Seconds(30); // between two pieces of a request's body
-constexpr Duration ClosePause = Seconds(2); // for a caller to stop sending after an answer that ends its connection
+constexpr Duration ClosePause = Seconds(2); // for a caller to stop sending after an response that ends its connection
 constexpr Duration NoDeadline = Seconds(60); // where neither caller nor route says how long
 // When a refused caller is to come back: a little later than targets need to finish something, and not all callers at
 // the same moment. Callers obey up to a third of the time that they have left, so the time asked for stays below it.
@@ -131,8 +131,8 @@
 {
     const bool expectsContinue = http::token_list(request.parser.get()[http::field::expect]).exists("100-continue");
     if (expectsContinue && !request.parser.is_done()) {
-        m_stream.expiresAt(Clock::now() + m_context.forward.limits.writePause);
-        const error_code error = co_await m_stream.write(asio::buffer(ContinueAnswer));
+        m_stream.expiresAt(Clock::now() + m_context.forward.limits.writeTimeout);
+        const error_code error = co_await m_stream.write(asio::buffer(ContinueResponse));
         if (error) {
             co_return failure(ErrorKind::Cancelled, "the caller has gone");
         }
@@ -199,17 +199,17 @@
     if (!prepared) {
         co_return co_await refuse(request, prepared.error(), Outcome::NotRun);
     }
-    const bool targetsKnown = co_await m_context.needTargets();
+    const bool targetsKnown = co_await m_context.ensureTargets();
     if (!targetsKnown) {
         const Error error { ErrorKind::NotReady, "the list of targets can't be had" };
         co_return co_await refuse(request, error, Outcome::NotRun);
     }
     prepared->body = std::move(request.body);
     const boost::intrusive_ptr<Forwarder> forwarder(new Forwarder(m_context.forward, std::move(*prepared)));
-    ForwardEnd end = co_await forwarder->run();
+    ForwardResult end = co_await forwarder->run();
     logEnd(request, end);
-    if (end.answer) {
-        const bool goesOn = co_await passOn(request, std::move(*end.answer));
+    if (end.response) {
+        const bool goesOn = co_await passOn(request, std::move(*end.response));
         noteEnd(request, Outcome::Answered, end.error);
         co_return goesOn;
     }
@@ -228,9 +228,9 @@
     m_context.forward.metrics.noteRequest(route, outcome, error, Clock::now() - request.arrived);
 }
 
-void GatewaySession::logEnd(const Request &request, const ForwardEnd &end)
+void GatewaySession::logEnd(const Request &request, const ForwardResult &end)
 {
-    if (end.answer && !end.error && end.attempts == 1) {
+    if (end.response && !end.error && end.attempts == 1) {
         return;
     }
     const auto millis = [](Duration span) {
@@ -251,50 +251,52 @@
                                { "left_ms", millis(request.deadline - now) } });
 }
 
-// Writes a target's answer as it was given, but for the fields that concern one connection only.
-DataAwaitable<bool> GatewaySession::passOn(Request &request, ForwardedAnswer answer)
+// Writes a target's response as it was given, but for the fields that concern one connection only.
+DataAwaitable<bool> GatewaySession::passOn(Request &request, ForwardedResponse response)
 {
-    const auto &message = answer.header->get();
+    const auto &message = response.header->get();
     const bool head = request.parser.get().method() == http::verb::head;
-    ResponseHeader header = passedOnHeader(message, isEndToEnd);
-    const bool chunked = answer.rest && !answer.header->content_length();
+    ResponseHeader header = forwardedHeader(message, isEndToEnd);
+    const bool chunked = response.bodyConnection && !response.header->content_length();
     const bool bodiless = head || message.result_int() == 204 || message.result_int() == 304;
     if (chunked) {
         header.set(http::field::transfer_encoding, "chunked");
-    } else if (!bodiless && !answer.rest) {
-        header.set(http::field::content_length, std::to_string(answer.body.size()));
+    } else if (!bodiless && !response.bodyConnection) {
+        header.set(http::field::content_length, std::to_string(response.body.size()));
     }
     request.keepAlive = request.keepAlive && !m_context.draining;
     if (!request.keepAlive) {
         header.set(http::field::connection, "close");
     }
     std::string bytes = headerBytes(std::move(header));
-    bytes += chunked ? chunkBytes(answer.body) : answer.body;
-    m_stream.expiresAt(Clock::now() + m_context.forward.limits.writePause);
+    bytes += chunked ? chunkBytes(response.body) : response.body;
+    m_stream.expiresAt(Clock::now() + m_context.forward.limits.writeTimeout);
     const error_code error = co_await m_stream.write(asio::buffer(bytes));
     if (error) {
         co_return false;
     }
-    if (answer.rest) {
-        co_return co_await passRest(request, answer);
+    if (response.bodyConnection) {
+        co_return co_await passRest(request, response);
     }
     m_answered = true;
     co_return request.keepAlive;
 }
 
-// Passes on the rest of an answer that is too large to be held. One that breaks is never ended as if it were whole.
-DataAwaitable<bool> GatewaySession::passRest(Request &request, ForwardedAnswer &answer)
+// Passes on the bodyConnection of an response that is too large to be held. One that breaks is never ended as if it
+// were whole.
+DataAwaitable<bool> GatewaySession::passRest(Request &request, ForwardedResponse &response)
 {
-    const bool chunked = !answer.header->content_length();
+    const bool chunked = !response.header->content_length();
     std::vector<char> buffer(internal::BodyPieceSize);
-    while (!answer.header->is_done()) {
-        const BodyPiece piece = co_await answer.rest->stream.readBody(*answer.header, asio::buffer(buffer));
+    while (!response.header->is_done()) {
+        const BodyPiece piece =
+            co_await response.bodyConnection->stream.readBody(*response.header, asio::buffer(buffer));
         if (piece.error) {
             m_context.forward.events(Event::BodyAborted,
                                      { { "request", request.fields.attemptId },
                                        { "service", request.service.value() },
                                        { "route", request.route->name },
-                                       { "target", answer.target.value() },
+                                       { "target", response.target.value() },
                                        { "detail", piece.error.message() } });
             abortConnection(m_stream);
             co_return false;
@@ -304,7 +306,7 @@
         if (chunked && piece.last) {
             bytes += chunkBytes({});
         }
-        m_stream.expiresAt(Clock::now() + m_context.forward.limits.writePause);
+        m_stream.expiresAt(Clock::now() + m_context.forward.limits.writeTimeout);
         const error_code error = co_await m_stream.write(asio::buffer(bytes));
         if (error) {
             co_return false;
@@ -334,16 +336,16 @@
                                { "kind", std::string(toString(error.kind)) },
                                { "outcome", std::string(toString(outcome)) },
                                { "detail", error.detail } });
-    OwnAnswer answer = errorAnswerFor(error.kind, outcome, 0, error.detail, request.fields.attemptId);
-    const bool comeBack = answer.status == 503 || answer.status == 429;
+    LocalResponse response = errorResponseFor(error.kind, outcome, 0, error.detail, request.fields.attemptId);
+    const bool comeBack = response.status == 503 || response.status == 429;
     if (comeBack) {
-        answer.fields.emplace_back("Retry-After", retryAfter(request));
+        response.fields.emplace_back("Retry-After", retryAfter(request));
     }
     // What is left of a request's body would be taken for the next request.
     const bool keepAlive = request.keepAlive && request.bodyComplete && !m_context.draining;
     const bool head = request.parser.get().method() == http::verb::head;
-    const std::string bytes = ownAnswerBytes(answer, request.fields.attemptId, keepAlive, head);
-    m_stream.expiresAt(Clock::now() + m_context.forward.limits.writePause);
+    const std::string bytes = localResponseBytes(response, request.fields.attemptId, keepAlive, head);
+    m_stream.expiresAt(Clock::now() + m_context.forward.limits.writeTimeout);
     const error_code failed = co_await m_stream.write(asio::buffer(bytes));
     m_answered = !failed;
     co_return !failed && keepAlive;
--- a/src/net/gatewaytesthelp.h
+++ b/src/net/gatewaytesthelp.h
@@ -24,8 +24,8 @@
         header.set("X-Expected", target.expected.value());
         header.set("X-Left-Ms", std::to_string(std::chrono::duration_cast<Millis>(target.timeLeft).count()));
     };
-    codec.readAnswer = [](const ResponseHeader &header) {
-        AnswerFields answer;
+    codec.readResponse = [](const ResponseHeader &header) {
+        ResponseFields answer;
         answer.attemptId = fieldValue(header, "X-Attempt");
         answer.signedBody = !fieldValue(header, "X-Signed").empty();
         answer.notRun = !fieldValue(header, "X-Refused").empty();
@@ -60,7 +60,7 @@
             return service;
         };
         context.forward.share = [](const AttemptReport &) {};
-        context.forward.askForBudget = [](const ServiceName &) {};
+        context.forward.requestBudget = [](const ServiceName &) {};
         context.routes = [this] {
             return routes;
         };
@@ -68,7 +68,7 @@
             routes = routesOnTheirWay;
             co_return;
         };
-        context.needTargets = []() -> DataAwaitable<bool> {
+        context.ensureTargets = []() -> DataAwaitable<bool> {
             co_return true;
         };
         m_server = std::make_unique<GatewayServer>(context, Endpoint { HostNumber, 0 });
@@ -134,7 +134,7 @@
         route.kind = kind;
         route.timeout = timeout;
         route.targetLatency = timeout;
-        route.mostAttempts = 2;
+        route.maxAttempts = 2;
         route.services = { { ServiceName("s"), 1 } };
         RouteTable table;
         table.version = 1;
