--- a/src/net/callersessionatmostonce.cpp
+++ b/src/net/callersessionatmostonce.cpp
@@ -1,4 +1,4 @@
-// Non-idempotent requests with an Idempotency-Key, which run at most once.
+// Non-idempotent requests with an Idempotency-Key, which are never run twice.
 #include "mulberryplank/net/callersession.h"
 
 #include <chrono>
@@ -15,7 +15,7 @@
 constexpr std::size_t MaxStoredResponseBytes = 64 * 1024;
 constexpr std::string_view TokenHeader = "X-Once-Token";
 constexpr std::string_view ReplayHeader = "X-Replayed";
-// Marks a request that one proxy forwards to another. A caller that sets it only prevents its own request from being
+// Marks a request that one proxy forwards to another. A caller that sets it only prevents the request from being
 // forwarded.
 constexpr std::string_view ForwardedHeader = "X-Once-Forwarded";
 constexpr std::size_t MaxForwardedResponseBytes = 1024 * 1024;
@@ -134,7 +134,7 @@
     co_return co_await respond(request, std::move(response));
 }
 
-// Forwards the request to the only process that may decide on its key. The request is sent once: if the response is
+// Forwards the request to the only process that may decide on its key. It is sent a single time: if the response is
 // lost, the request may have run there. The caller's next repeat is forwarded to the same process and gets the
 // response.
 DataAwaitable<bool> CallerSession::forwardToPeer(Request &request, ExchangeRequest exchange, Endpoint peer)
--- a/src/net/pathtesthelp.h
+++ b/src/net/pathtesthelp.h
@@ -73,13 +73,14 @@
         return bytes;
     }
 
-    // Returns all input until the connection ends. endReason() returns how it ended.
+    // Returns all input until the connection ends. endReason() returns how it was closed.
     std::string readToEnd()
     {
         return { std::istreambuf_iterator<char>(*m_stream), {} };
     }
 
-    // Returns how the connection ended: eof, connection_reset, or timed_out when it did not end within WaitLimit.
+    // Returns how the connection was closed: eof, connection_reset, or timed_out when it was not closed within
+    // WaitLimit.
     boost::system::error_code endReason()
     {
         return m_stream->error();
