--- a/src/net/callersession.cpp
+++ b/src/net/callersession.cpp
@@ -161,7 +161,7 @@
 
 DataAwaitable<bool> CallerSession::respond(const Request &request, LocalResponse response)
 {
-    // An unread rest of the request's body would be parsed as the next request.
+    // The unread part of the request's body would be parsed as the next request.
     const bool keepAlive = request.keepAlive && request.bodyComplete && !m_context.closing;
     const std::string bytes = localResponseBytes(response, request.id, keepAlive, request.head);
     m_stream.expiresAt(Clock::now() + m_context.limits.writeTimeout);
--- a/src/net/gatewaysession.cpp
+++ b/src/net/gatewaysession.cpp
@@ -342,7 +342,7 @@
     if (hasRetryAfter) {
         response.fields.emplace_back("Retry-After", retryAfter(request));
     }
-    // An unread rest of the request's body would be parsed as the next request.
+    // The unread part of the request's body would be parsed as the next request.
     const bool keepAlive = request.keepAlive && request.bodyComplete && !m_context.draining;
     const bool head = request.parser.get().method() == http::verb::head;
     const std::string bytes = localResponseBytes(response, request.fields.attemptId, keepAlive, head);
