--- a/include/mulberryplank/net/callersession.h
+++ b/include/mulberryplank/net/callersession.h
@@ -9,8 +9,8 @@
 namespace mulberryplank
 {
 
-// One connection from a caller: reads its requests one after the other, so that pipelined ones are answered in order,
-// and answers each.
+// One connection from a caller. Reads its requests one at a time and responds to each, so that pipelined requests get
+// their responses in order.
 class CallerSession
 {
 public:
@@ -23,7 +23,7 @@
     DataAwaitable<void> run();
 
 private:
-    // What serveOne() works on.
+    // The request that serveOne() processes.
     struct Request {
         explicit Request(const CallerLimits &limits);
 
@@ -37,14 +37,14 @@
         Instant arrived {};
         AccountName account;
         ServiceName service;
-        std::string path; // towards the target
+        std::string path; // as sent to the target
     };
 
     DataAwaitable<bool> serveOne();
     DataAwaitable<Result<void>> readBody(Request &request, Instant deadline, bool keyed);
     DataAwaitable<Result<void>> readWholeBody(Request &request, Instant deadline, std::size_t maxSize);
     DataAwaitable<bool> refuse(const Request &request, const Error &error);
-    DataAwaitable<bool> answer(const Request &request, LocalResponse answer);
+    DataAwaitable<bool> respond(const Request &request, LocalResponse response);
     DataAwaitable<bool> relay(Request &request);
     DataAwaitable<bool> relayAtMostOnce(Request &request, ExchangeRequest exchange, std::string key);
     DataAwaitable<bool> runExchange(Request &request, ExchangeRequest exchange);
@@ -60,10 +60,10 @@
     Worker &m_worker;
     CallerContext &m_context;
     HttpStream m_stream;
-    std::string m_verifiedAuthorization; // the last Authorization value that was found right
-    SecretDigest m_verifiedDigest {}; // and the digest that it was right for
-    AccountName m_countedAccount; // whose connection this is; empty: nobody has proven who it is
-    bool m_responded = false; // the last thing that happened was an answer
+    std::string m_verifiedAuthorization; // the last Authorization value that was verified
+    SecretDigest m_verifiedDigest {}; // the digest that it matched
+    AccountName m_countedAccount; // the account of this connection; empty until authenticated
+    bool m_responded = false; // the last action was a response
 };
 
 } // namespace mulberryplank
--- a/src/net/adminserver.cpp
+++ b/src/net/adminserver.cpp
@@ -31,7 +31,7 @@
 constexpr std::uint64_t MaxBodyBytes = 64ULL * 1024 * 1024;
 constexpr std::chrono::seconds ConnectionTimeout { 60 };
 
-// Takes the same time wherever the two differ.
+// Compares in a time that doesn't depend on where the texts differ.
 bool constantTimeEquals(std::string_view left, std::string_view right)
 {
     return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
@@ -157,7 +157,7 @@
             adminResponse = co_await m_handler(std::move(request));
         } else {
             m_events(Event::CallerRefused, { { "kind", "unauthenticated" }, { "path", request.path } });
-            adminResponse = adminErrorResponse(Error { ErrorKind::Unauthenticated, "an operator key is needed" });
+            adminResponse = adminErrorResponse(Error { ErrorKind::Unauthenticated, "an operator key is required" });
         }
         http::response<http::string_body> response;
         response.version(11);
--- a/src/net/callersession.cpp
+++ b/src/net/callersession.cpp
@@ -77,9 +77,9 @@
     m_stream.close();
 }
 
-// Small bodies are read before the request is admitted, so that it can be sent again. A keyed request's body is read
-// whole whatever its size: two repeats are told from two different requests by it, and a caller that breaks off within
-// it must not leave the outcome of its key unknown.
+// Small bodies are read before the request is admitted, so that it can be sent again. The body of a keyed request is
+// read whole whatever its size: it distinguishes a repeat from a different request, and a caller that disconnects
+// within the body must not leave the outcome of its key unknown.
 DataAwaitable<Result<void>> CallerSession::readBody(Request &request, Instant deadline, bool keyed)
 {
     const auto &message = request.parser.get();
@@ -102,7 +102,7 @@
         m_stream.expiresAt(Clock::now() + m_context.limits.writeTimeout);
         const error_code error = co_await m_stream.write(asio::buffer(ContinueResponse));
         if (error) {
-            co_return failure(ErrorKind::Cancelled, "the caller has gone");
+            co_return failure(ErrorKind::Cancelled, "the caller disconnected");
         }
     }
     co_return co_await readWholeBody(request, deadline, maxSize);
@@ -115,7 +115,7 @@
         const BodyPiece piece = co_await m_stream.appendBody(request.parser, request.body, internal::BodyPieceSize);
         if (piece.error) {
             const ErrorKind kind = m_stream.timedOut() ? ErrorKind::RequestTimeout : ErrorKind::BadRequest;
-            co_return failure(kind, "the body broke off");
+            co_return failure(kind, "the body ended early or did not arrive in time");
         }
         if (request.body.size() > maxSize) {
             co_return failure(ErrorKind::BodyTooLarge, "the body of a request with an Idempotency-Key is too large");
@@ -159,11 +159,11 @@
     co_return keepOpen &&m_stream.socket().is_open();
 }
 
-DataAwaitable<bool> CallerSession::answer(const Request &request, LocalResponse answer)
+DataAwaitable<bool> CallerSession::respond(const Request &request, LocalResponse response)
 {
-    // What is left of the request's body would be taken for the next request.
+    // The unread part of the request's body would be parsed as the next request.
     const bool keepAlive = request.keepAlive && request.bodyComplete && !m_context.closing;
-    const std::string bytes = localResponseBytes(answer, request.id, keepAlive, request.head);
+    const std::string bytes = localResponseBytes(response, request.id, keepAlive, request.head);
     m_stream.expiresAt(Clock::now() + m_context.limits.writeTimeout);
     const error_code error = co_await m_stream.write(asio::buffer(bytes));
     m_responded = !error;
@@ -174,8 +174,8 @@
 {
     ++m_context.counters.refused;
     const ErrorInfo &row = errorInfo(error.kind);
-    // Nothing was sent to a target yet, whatever the table must allow for in general.
-    co_return co_await answer(
+    // The outcome is NotRun even if the table of errors gives another one: nothing was sent to a target yet.
+    co_return co_await respond(
         request, errorResponseFor(error.kind, Outcome::NotRun, row.retryAfterSeconds, error.detail, request.id));
 }
 
@@ -184,12 +184,12 @@
     const std::string_view value = fieldValue(request.parser.get(), "Authorization");
     const std::optional<PresentedIdentity> identity = parseAuthorization(value);
     if (!identity) {
-        return failure(ErrorKind::Unauthenticated, "Authorization: Bearer ACCOUNT.SECRET is needed");
+        return failure(ErrorKind::Unauthenticated, "Authorization: Bearer ACCOUNT.SECRET is required");
     }
     const std::optional<SecretDigest> digest = m_context.accountDigest(identity->account);
     const bool verifiedBefore = digest && m_verifiedDigest == *digest && m_verifiedAuthorization == value;
-    // An unknown account costs the same work and gets the same answer as a wrong secret, so that nobody learns which
-    // accounts exist.
+    // An unknown account takes the same work and gets the same response as a wrong secret, so that callers can't find
+    // out which accounts exist.
     const bool matches = verifiedBefore || secretMatches(identity->secret, digest.value_or(SecretDigest {}));
     if (!digest || !matches) {
         m_context.events(Event::CallerRefused, { { "request", request.id }, { "kind", "unauthenticated" } });
@@ -203,8 +203,8 @@
     return countConnection(request.account);
 }
 
-// Counts this connection as the account's, atMostOnceState it has proven to be its. One account with a leak of
-// connections would otherwise use up those of everybody.
+// Counts this connection towards the account that it has authenticated for. Without the limit per account, one account
+// that leaks connections would use up those of all accounts.
 Result<void> CallerSession::countConnection(const AccountName &account)
 {
     if (account == m_countedAccount) {
@@ -250,7 +250,7 @@
     }
     std::optional<ServiceAccess> access = m_context.findService(request.service);
     if (!access) {
-        // An old answer of locate brought the caller here: the new one goes with the refusal.
+        // The caller used an outdated response of locate. The error carries the current one.
         const Result<std::string> located = m_context.locate(request.service, request.account);
         if (located) {
             return failure(ErrorKind::Misdirected, *located);
@@ -284,7 +284,7 @@
 {
     Result<ExchangeRequest> exchange = prepare(request);
     if (!exchange) {
-        // The body isn't read for a request that is refused; an empty one leaves the connection usable.
+        // The body of a rejected request isn't read. The connection stays usable only when the body is empty.
         request.bodyComplete = request.parser.is_done();
         const bool keepOpen = co_await refuse(request, exchange.error());
         co_return keepOpen &&exchange.error().kind != ErrorKind::TooManyConnections;
@@ -333,7 +333,7 @@
                            { "request", request.id },
                            { "kind", std::string(toString(end.step.error)) },
                            { "outcome", std::string(toString(end.step.outcome)) } });
-        co_return co_await answer(
+        co_return co_await respond(
             request, errorResponseFor(end.step.error, end.step.outcome, end.step.retryAfterSeconds, "", request.id));
     }
     default:
@@ -356,7 +356,7 @@
         if (!m_context.ready) {
             co_return co_await refuse(request, Error { ErrorKind::NotReady, "this process has no configuration yet" });
         }
-        co_return co_await answer(request, LocalResponse { 200, "{\"ready\":true}\n", Outcome::Answered, 0, {} });
+        co_return co_await respond(request, LocalResponse { 200, "{\"ready\":true}\n", Outcome::Answered, 0, {} });
     }
     const Result<void> identified = identify(request);
     if (!identified) {
@@ -370,9 +370,9 @@
     if (!located) {
         co_return co_await refuse(request, located.error());
     }
-    LocalResponse answered { 200, *located, Outcome::Answered, 0, {} };
-    answered.fields.emplace_back("X-Once-Token", toString(m_context.atMostOnceState->token(Clock::now())));
-    co_return co_await answer(request, std::move(answered));
+    LocalResponse response { 200, *located, Outcome::Answered, 0, {} };
+    response.fields.emplace_back("X-Once-Token", toString(m_context.atMostOnceState->token(Clock::now())));
+    co_return co_await respond(request, std::move(response));
 }
 
 } // namespace mulberryplank
--- a/src/net/callersessionatmostonce.cpp
+++ b/src/net/callersessionatmostonce.cpp
@@ -1,4 +1,4 @@
-// Requests that carry an Idempotency-Key and aren't idempotent: held to one run.
+// Non-idempotent requests with an Idempotency-Key, which are never run twice.
 #include "mulberryplank/net/callersession.h"
 
 #include <chrono>
@@ -15,13 +15,13 @@
 constexpr std::size_t MaxStoredResponseBytes = 64 * 1024;
 constexpr std::string_view TokenHeader = "X-Once-Token";
 constexpr std::string_view ReplayHeader = "X-Replayed";
-// Set on what one proxy forwards to another. A caller that sets it itself only keeps its response request from being
+// Marks a request that one proxy forwards to another. A caller that sets it only prevents the request from being
 // forwarded.
 constexpr std::string_view ForwardedHeader = "X-Once-Forwarded";
 constexpr std::size_t MaxForwardedResponseBytes = 1024 * 1024;
 
-// Ends a run of a key in the registry whatever happens: left running, every repeat would be told that it is under way
-// until the key is forgotten, although an exception ended it long ago.
+// Ends the run of a key in the registry on every path, also when an exception is thrown. Otherwise every repeat would
+// be rejected with RepeatInProgress until the key expires.
 class AtMostOnceRun
 {
 public:
@@ -48,7 +48,8 @@
             m_state.finishWithResponse(m_account, m_key, *end.stored);
             return;
         }
-        // An answer that was too large to keep can't be given again: the repeat is told that it ran.
+        // A response that was too large to store can't be replayed. A repeat gets Unknown, since the request may have
+        // run.
         const Outcome outcome = end.outcome == Outcome::NotRun ? Outcome::NotRun : Outcome::Unknown;
         m_state.finishFailed(m_account, m_key, outcome);
     }
@@ -101,14 +102,17 @@
         response.body = decision.answer->body;
         response.fields = decision.answer->headers;
         response.fields.emplace_back(internal::ReplayHeader, "1");
-        co_return co_await answer(request, std::move(response));
+        co_return co_await respond(request, std::move(response));
     case AtMostOnceDecisionKind::InProgress:
-        response = errorResponseFor(
-            ErrorKind::RepeatInProgress, Outcome::Unknown, 1, "the first one is under way", request.id);
+        response = errorResponseFor(ErrorKind::RepeatInProgress,
+                                    Outcome::Unknown,
+                                    1,
+                                    "the first request with this key is in progress",
+                                    request.id);
         break;
     case AtMostOnceDecisionKind::KeyReused:
         response = errorResponseFor(
-            ErrorKind::KeyReused, Outcome::NotRun, 0, "the key stands for another request", request.id);
+            ErrorKind::KeyReused, Outcome::NotRun, 0, "the key was used for another request", request.id);
         break;
     case AtMostOnceDecisionKind::Full: {
         const auto wait = std::chrono::ceil<Seconds>(decision.retryAfter).count();
@@ -121,20 +125,18 @@
             ErrorKind::KeyRequired, Outcome::NotRun, 0, "the key must begin with X-Once-Token", request.id);
         break;
     default:
-        response = errorResponseFor(ErrorKind::RepeatUnknown,
-                                    Outcome::Unknown,
-                                    0,
-                                    "the process that knows what became of this key is gone",
-                                    request.id);
+        response = errorResponseFor(
+            ErrorKind::RepeatUnknown, Outcome::Unknown, 0, "the process that decided on this key has left", request.id);
         break;
     }
     response.fields.emplace_back(internal::TokenHeader, toString(m_context.atMostOnceState->token(Clock::now())));
     ++m_context.counters.refused;
-    co_return co_await answer(request, std::move(response));
+    co_return co_await respond(request, std::move(response));
 }
 
-// Passes the request on to the process that alone may decide on its key. Sent atMostOnceState: if the answer is lost,
-// the request may have run there, and the caller's next repeat is passed to the same process and gets the answer.
+// Forwards the request to the only process that may decide on its key. It is sent a single time: if the response is
+// lost, the request may have run there. The caller's next repeat is forwarded to the same process and gets the
+// response.
 DataAwaitable<bool> CallerSession::forwardToPeer(Request &request, ExchangeRequest exchange, Endpoint peer)
 {
     const TargetConnectionPtr connection = m_worker.pool.create();
@@ -159,12 +161,12 @@
     if (!error) {
         error = co_await stream.readHeader(parser);
     }
-    StoredResponse answer;
-    while (!error && !parser.is_done() && answer.body.size() <= internal::MaxForwardedResponseBytes) {
+    StoredResponse peerResponse;
+    while (!error && !parser.is_done() && peerResponse.body.size() <= internal::MaxForwardedResponseBytes) {
         std::array<char, 4096> buffer {};
         const BodyPiece piece = co_await stream.readBody(parser, boost::asio::buffer(buffer));
         error = piece.error;
-        answer.body.append(buffer.data(), piece.size);
+        peerResponse.body.append(buffer.data(), piece.size);
     }
     if (error || !parser.is_done()) {
         LocalResponse response =
@@ -174,17 +176,17 @@
                              "the process that decides on this key can't be reached; repeat with the same key",
                              request.id);
         ++m_context.counters.refused;
-        co_return co_await this->answer(request, std::move(response));
+        co_return co_await respond(request, std::move(response));
     }
     LocalResponse response;
     response.status = static_cast<int>(parser.get().result_int());
-    response.body = std::move(answer.body);
+    response.body = std::move(peerResponse.body);
     response.fields = fieldsToStore(parser);
     const std::string_view outcome = fieldValue(parser.get(), "X-Outcome");
     response.outcome = outcome == "answered"  ? Outcome::Answered
                        : outcome == "not-run" ? Outcome::NotRun
                                               : Outcome::Unknown;
-    co_return co_await this->answer(request, std::move(response));
+    co_return co_await respond(request, std::move(response));
 }
 
 } // namespace mulberryplank
--- a/src/net/callersessionatmostoncetest.cpp
+++ b/src/net/callersessionatmostoncetest.cpp
@@ -1,4 +1,4 @@
-// Repeats under one Idempotency-Key, played on real sockets.
+// Repeated requests with one Idempotency-Key, over loopback sockets.
 #include <CppUTest/TestHarness.h>
 
 #include "pathtesthelp.h"
@@ -38,7 +38,7 @@
     TestProxy proxy { { target.port() }, routes };
     std::string key = proxy.keyField("order-1");
 
-    // Runs one keyed request whose response is "done".
+    // Runs one keyed request to which the target responds with "done".
     void runKeyedRequest(const std::string &bytes, std::size_t bodySize)
     {
         Peer caller = proxy.caller();
@@ -63,7 +63,7 @@
     CHECK_FALSE(target.hasConnection());
 }
 
-// Failure: a second, different order is answered with the first one's response.
+// Guards against replaying the response of one order to a different order with the same key.
 TEST(CallerSessionAtMostOnce, DetectsAReusedKeyByTheWholeBody)
 {
     const std::string body(100'000, 'b');
@@ -87,7 +87,8 @@
     CHECK_FALSE(target.hasConnection());
 }
 
-// Failure: a caller whose connection broke repeats with its key and can never learn what became of its request.
+// Guards against an unknown outcome: a caller whose connection broke repeats with its key and can never learn the
+// outcome of its request.
 TEST(CallerSessionAtMostOnce, FinishesARunAfterTheCallerDisconnectsAndStoresItsResponse)
 {
     Peer caller = proxy.caller();
@@ -110,7 +111,7 @@
     CHECK_FALSE(target.hasConnection());
 }
 
-// Failure: two runs of one order.
+// Guards against running one order twice when the repeat reaches another process.
 TEST(CallerSessionAtMostOnce, ForwardsRequestsToTheProcessThatDecidesOnTheKey)
 {
     TestProxy second({ target.port() }, routes, {}, 2);
@@ -131,7 +132,7 @@
     CHECK_FALSE(target.hasConnection());
 }
 
-// Failure: one request circles between proxies until its deadline.
+// Guards against a forwarding loop: two proxies forward one request to each other until its deadline.
 TEST(CallerSessionAtMostOnce, NeverForwardsAForwardedRequest)
 {
     TestProxy second({ target.port() }, routes, {}, 2);
@@ -153,7 +154,8 @@
     CHECK_FALSE(target.hasConnection());
 }
 
-// Failure: every repeat is told that the first is under way, until the key is forgotten.
+// Guards against a key that stays in progress after an exception, so that every repeat is rejected with
+// repeat-in-progress until the key expires.
 TEST(CallerSessionAtMostOnce, FinishesARunThatThrows)
 {
     proxy.context.recordLatency = [](Duration, Duration) {
--- a/src/net/callersessiontest.cpp
+++ b/src/net/callersessiontest.cpp
@@ -1,4 +1,4 @@
-// What a caller may send and what it costs, played on real sockets.
+// Limits and checks on callers' requests, over loopback sockets.
 #include <set>
 
 #include <CppUTest/TestHarness.h>
@@ -12,7 +12,7 @@
 {
     ScriptedTarget target;
 
-    // Sends `bytes` on a connection of its own and returns all that comes until it is closed.
+    // Sends `bytes` on a new connection and returns all input until the connection is closed.
     std::string responseUntilClose(const TestProxy &proxy, const std::string &bytes)
     {
         Peer caller = proxy.caller();
@@ -23,7 +23,7 @@
     }
 };
 
-// Failure: one caller's bytes are taken for another's request at a target.
+// Guards against request smuggling: a target takes bytes of one caller's request for another request.
 TEST(CallerSession, RejectsRequestSmugglingAndClosesTheConnection)
 {
     TestProxy proxy({ target.port() });
@@ -61,11 +61,11 @@
         bodies.insert(body);
     }
     CHECK_FALSE(target.hasConnection());
-    // A value of another form may be told apart: it says nothing of any account.
+    // A malformed value may get a different response, because that reveals nothing about accounts.
     CHECK_TRUE(bodies.size() <= 2);
 }
 
-// Failure: a few strangers take all memory or all connections.
+// Guards against a few unauthenticated callers using up the memory or the connections.
 TEST(CallerSession, LimitsHeaderAndBodySizesAndTimes)
 {
     CallerLimits limits;
@@ -87,7 +87,7 @@
     CHECK_FALSE(target.hasConnection());
 }
 
-// Failure: everybody is turned away because one account leaks connections.
+// Guards against one account that leaks connections causing the rejection of all callers.
 TEST(CallerSession, LimitsTheConnectionsOfAnAccount)
 {
     CallerLimits limits;
--- a/src/net/callerwatch.cpp
+++ b/src/net/callerwatch.cpp
@@ -18,8 +18,8 @@
                                        return;
                                    }
                                    shared->waiting = false;
-                                   // Readable without being closed: the next request is there already, and nothing more
-                                   // can be learnt without reading it.
+                                   // If the socket is readable but not closed, the next request has arrived, and a
+                                   // disconnect can't be detected without reading it.
                                    if (!error && caller.isClosedByPeer()) {
                                        shared->onDisconnect();
                                    }
--- a/src/net/gatewayserver.cpp
+++ b/src/net/gatewayserver.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr Duration AcceptRetryDelay = Millis(50); // after an error, which is mostly a lack of file descriptors
+constexpr Duration AcceptRetryDelay = Millis(50); // after an error, usually a lack of file descriptors
 
 DataAwaitable<void> runSession(DataSocket socket, GatewayContext &context)
 {
--- a/src/net/gatewaysession.cpp
+++ b/src/net/gatewaysession.cpp
@@ -26,11 +26,11 @@
 
 constexpr std::size_t BodyPieceSize = 16 * 1024;
 constexpr Duration BodyIdleTimeout = Seconds(30); // between two pieces of a request's body
-constexpr Duration LingerTimeout =
-    Seconds(2); // for a caller to stop sending after an response that ends its connection
-constexpr Duration DefaultTimeout = Seconds(60); // where neither caller nor route says how long
-// When a refused caller is to come back: a little later than targets need to finish something, and not all callers at
-// the same moment. Callers obey up to a third of the time that they have left, so the time asked for stays below it.
+constexpr Duration LingerTimeout = Seconds(2); // for a caller to stop sending after a connection's last response
+constexpr Duration DefaultTimeout = Seconds(60); // when neither the caller nor the route gives a timeout
+// The bounds of Retry-After for a rejected caller: slightly longer than targets need to finish a request, and different
+// for different callers so that they don't return at the same moment. Callers honor up to a third of the time that they
+// have left, so the value stays below that.
 constexpr double RetryAfterShare = 0.08; // of the time left
 constexpr Duration MinRetryAfter = Millis(50);
 constexpr Duration MaxRetryAfter = Millis(400);
@@ -114,7 +114,7 @@
         co_return false;
     }
     m_stream.expiresNever();
-    // The routes as of the whole header: the version in force may have changed while it came.
+    // The version in force may have changed while the header was arriving.
     request.table = m_context.routes();
     request.keepAlive = request.parser.get().keep_alive();
     request.fields = m_context.forward.codec.readCaller(request.parser.get());
@@ -127,7 +127,7 @@
     co_return keepOpen &&m_stream.socket().is_open();
 }
 
-// The body is read whole, so that the request can be sent again where its kind allows that.
+// The body is read whole, so that the request can be sent again if its kind allows that.
 DataAwaitable<Result<void>> GatewaySession::readBody(Request &request)
 {
     const bool expectsContinue = http::token_list(request.parser.get()[http::field::expect]).exists("100-continue");
@@ -135,7 +135,7 @@
         m_stream.expiresAt(Clock::now() + m_context.forward.limits.writeTimeout);
         const error_code error = co_await m_stream.write(asio::buffer(ContinueResponse));
         if (error) {
-            co_return failure(ErrorKind::Cancelled, "the caller has gone");
+            co_return failure(ErrorKind::Cancelled, "the caller disconnected");
         }
     }
     while (!request.parser.is_done()) {
@@ -146,7 +146,7 @@
         }
         if (piece.error) {
             const ErrorKind kind = m_stream.timedOut() ? ErrorKind::RequestTimeout : ErrorKind::Cancelled;
-            co_return failure(kind, "the body broke off");
+            co_return failure(kind, "the body ended early or did not arrive in time");
         }
     }
     m_stream.expiresNever();
@@ -154,7 +154,7 @@
     co_return Result<void> {};
 }
 
-// Finds the request's route and its last moment.
+// Determines the request's route and deadline.
 Result<ForwardRequest> GatewaySession::prepare(Request &request)
 {
     if (!request.table) {
@@ -167,7 +167,7 @@
         return failure(ErrorKind::NotFound, "no route for this host and path");
     }
     if (m_context.closing) {
-        return failure(ErrorKind::Draining, "this process ends");
+        return failure(ErrorKind::Draining, "this process is shutting down");
     }
     request.deadline = std::min(request.deadline, request.arrived + request.route->timeout);
     request.service = m_context.split.next(*request.route);
@@ -202,7 +202,7 @@
     }
     const bool targetsKnown = co_await m_context.ensureTargets();
     if (!targetsKnown) {
-        const Error error { ErrorKind::NotReady, "the list of targets can't be had" };
+        const Error error { ErrorKind::NotReady, "no list of targets is available" };
         co_return co_await refuse(request, error, Outcome::NotRun);
     }
     prepared->body = std::move(request.body);
@@ -252,7 +252,7 @@
                                { "left_ms", millis(request.deadline - now) } });
 }
 
-// Writes a target's response as it was given, but for the fields that concern one connection only.
+// Forwards a target's response unchanged except for the fields that apply to one connection only.
 DataAwaitable<bool> GatewaySession::forwardResponse(Request &request, ForwardedResponse response)
 {
     const auto &message = response.header->get();
@@ -283,8 +283,8 @@
     co_return request.keepAlive;
 }
 
-// Passes on the bodyConnection of an response that is too large to be held. One that breaks is never ended as if it
-// were whole.
+// Streams the remaining body of a response that is too large to buffer. If the body is truncated, the connection is
+// aborted, so that the caller can't take the response for a complete one.
 DataAwaitable<bool> GatewaySession::forwardRemainingBody(Request &request, ForwardedResponse &response)
 {
     const bool chunked = !response.header->content_length();
@@ -342,7 +342,7 @@
     if (hasRetryAfter) {
         response.fields.emplace_back("Retry-After", retryAfter(request));
     }
-    // What is left of a request's body would be taken for the next request.
+    // The unread part of the request's body would be parsed as the next request.
     const bool keepAlive = request.keepAlive && request.bodyComplete && !m_context.draining;
     const bool head = request.parser.get().method() == http::verb::head;
     const std::string bytes = localResponseBytes(response, request.fields.attemptId, keepAlive, head);
--- a/src/net/gatewaysessiontest.cpp
+++ b/src/net/gatewaysessiontest.cpp
@@ -17,14 +17,14 @@
     return header + peer.read(length.empty() ? 0 : std::stoul(length));
 }
 
-// A gateway before one target.
+// A gateway with one target.
 struct OneTarget {
     explicit OneTarget(RouteKind kind, Duration timeout = Seconds(20))
         : gateway({ target.port() }, kind, timeout)
     {
     }
 
-    // Begins to serve, and returns a caller's connection.
+    // Starts serving and returns a caller's connection.
     Peer start()
     {
         gateway.start();
@@ -35,7 +35,7 @@
     TestGateway gateway;
 };
 
-// A gateway before two targets.
+// A gateway with two targets.
 struct TwoTargets {
     explicit TwoTargets(RouteKind kind)
         : gateway({ one.port(), other.port() }, kind)
@@ -100,7 +100,7 @@
     CHECK_FALSE(fixture.target.hasConnection());
 }
 
-// Failure: callers are told that a route doesn't exist though it is configured, and give up for good.
+// Guards against a 404 for a configured route before the configuration has arrived: callers don't retry after a 404.
 TEST(GatewaySession, requestWithoutAConfigurationGets503)
 {
     TestGateway gateway({}, RouteKind::NonIdempotent);
@@ -138,7 +138,7 @@
     CHECK_TRUE(readResponse(caller).ends_with("ok"));
 }
 
-// Failure: a booking is made twice.
+// Guards against making a booking twice.
 TEST(GatewaySession, nonIdempotentRequestIsNotRetriedAfterAReset)
 {
     TwoTargets fixture(RouteKind::NonIdempotent);
@@ -166,7 +166,7 @@
     CHECK_TRUE(readResponse(caller).ends_with("ok"));
 }
 
-// Failure: a caller is told "not run" and repeats a booking that has run.
+// Guards against reporting "not run" for a booking that has run, which the caller then repeats.
 TEST(GatewaySession, targetsOwn503DoesNotReachTheCallerAsNotRun)
 {
     OneTarget fixture(RouteKind::NonIdempotent);
@@ -202,7 +202,7 @@
     CHECK_TRUE(contains(caller.readHeader(), " 502 "));
 }
 
-// Failure: a caller gets the response to another caller's request.
+// Guards against delivering the response to an earlier request, which may be another caller's.
 TEST(GatewaySession, lateResponseToAnEarlierRequestIsDropped)
 {
     OneTarget fixture(RouteKind::NonIdempotent);
@@ -259,7 +259,7 @@
     CHECK_TRUE(response.ends_with(body));
 }
 
-// Failure: a caller takes the beginning of a target's error for all of it.
+// Guards against forwarding only the beginning of a target's error response as if it were complete.
 TEST(GatewaySession, targetsErrorTooLargeToBufferIsForwardedWhole)
 {
     OneTarget fixture(RouteKind::NonIdempotent);
@@ -276,7 +276,7 @@
     CHECK_TRUE(response.ends_with(body));
 }
 
-// Failure: a caller takes half a download for the whole.
+// Guards against a truncated download that looks complete to the caller.
 TEST(GatewaySession, truncatedLargeResponseResetsTheCallersConnection)
 {
     OneTarget fixture(RouteKind::LargeResponse);
@@ -292,7 +292,7 @@
     CHECK_TRUE(caller.endReason() == asio::error::connection_reset);
 }
 
-// Failure: targets go on working for callers that have left.
+// Guards against targets that keep working for callers that have disconnected.
 TEST(GatewaySession, targetsConnectionIsClosedWhenTheCallerDisconnects)
 {
     OneTarget fixture(RouteKind::NonIdempotent);
@@ -348,7 +348,7 @@
     CHECK_TRUE(contains(caller.readHeader(), " 504 "));
 }
 
-// Failure: the log says of a target that was silent that it began an response with status 200.
+// Guards against logging status 200 for a target that never started a response.
 TEST(GatewaySession, unresponsiveTargetIsLoggedWithoutAStatus)
 {
     OneTarget fixture(RouteKind::NonIdempotent, Millis(60));
--- a/src/net/gatewaytesthelp.h
+++ b/src/net/gatewaytesthelp.h
@@ -1,4 +1,4 @@
-// A gateway's request path over real loopback sockets, with callers and targets that a test plays byte by byte.
+// Test fixture for a gateway's request path over loopback sockets. The test scripts callers and targets byte by byte.
 #pragma once
 
 #include "mulberryplank/net/gatewayserver.h"
@@ -7,7 +7,7 @@
 namespace mulberryplank::pathtest
 {
 
-// Header fields by names of the tests' own.
+// Returns a codec with header field names that only the tests use.
 inline HeaderCodec testCodec()
 {
     HeaderCodec codec;
@@ -44,7 +44,7 @@
            + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// One gateway with one worker and a service whose targets are named "t0", "t1" and so on.
+// A gateway with one worker and a service whose targets are named "t0", "t1" and so on.
 class TestGateway
 {
 public:
@@ -86,7 +86,7 @@
         }
     }
 
-    // Begins to serve; what the test sets beforehand is in force from then on.
+    // Starts serving with the context that the test has set up before.
     void start()
     {
         m_server->start();
@@ -112,7 +112,7 @@
     GatewayContext context;
     ForwardService service;
     RouteTablePtr routes;
-    RouteTablePtr pendingRoutes; // there once a request has waited for them
+    RouteTablePtr pendingRoutes; // in force after a request has waited for routes
 
 private:
     void setTargets(const std::vector<std::uint16_t> &ports)
--- a/src/net/memberservice.cpp
+++ b/src/net/memberservice.cpp
@@ -20,7 +20,8 @@
 using boost::asio::redirect_error;
 using boost::asio::use_awaitable;
 
-// A list of thousands of members takes a while to copy: not on every tick.
+// Copying a list of thousands of members takes too long to do it on every tick. A changed list is published after the
+// minimum interval, an unchanged one after the maximum interval.
 constexpr Millis MinPublishInterval { 200 };
 constexpr Seconds MaxPublishInterval { 1 };
 
@@ -61,9 +62,9 @@
     OwnStateSource ownState;
     EventSink events;
     Timer timer;
-    std::unique_ptr<Membership> membership; // none before start() and after stop()
-    int activeExchanges = 0; // under way
-    bool onFirstMember = false; // another member was known
+    std::unique_ptr<Membership> membership; // null before start() and after stop()
+    int activeExchanges = 0; // in progress
+    bool firstMemberKnown = false; // another member was known at some time
     bool changed = false;
     Instant lastPublished {};
     mutable std::mutex publishedLock;
@@ -115,7 +116,7 @@
 void MemberService::Private::receive(const PeerSender &sender, std::string_view payload)
 {
     const auto message = membership ? decodeMembershipMessage(payload) : failure(ErrorKind::NotReady, "not started");
-    // Nobody speaks for another process, whatever its key allows.
+    // A process may send only for itself, even though all processes share the key.
     if (!message || message->sender.incarnation != sender.incarnation) {
         return;
     }
@@ -141,14 +142,15 @@
     return response;
 }
 
-// Whoever is onFirstMember first counts, also one that asked this process. What goes wrong without this: the strongest
-// member, which others join through, waits for seeds that are still without power, and so do all who rely on it.
+// The first member counts even if it contacted this process and not the other way round. Otherwise, after a power loss,
+// the strongest member, through which others join, would wait for seeds that are still down, and so would all processes
+// that rely on it.
 void MemberService::Private::notifyFirstMember(Instant now)
 {
-    if (onFirstMember || membership->isAlone()) {
+    if (firstMemberKnown || membership->isAlone()) {
         return;
     }
-    onFirstMember = true;
+    firstMemberKnown = true;
     publishNow(now);
     if (settings.onFirstMember) {
         settings.onFirstMember();
@@ -158,7 +160,7 @@
 void MemberService::Private::sendAll(const std::vector<OutgoingMessage> &messages)
 {
     for (const OutgoingMessage &outgoing : messages) {
-        // What can't be sent counts as lost: the protocol expects losses.
+        // A datagram that can't be sent counts as lost. The protocol tolerates losses.
         static_cast<void>(transport->send(outgoing.to, PeerKind::Membership, encode(outgoing.message)));
     }
 }
--- a/src/net/memberservicetest.cpp
+++ b/src/net/memberservicetest.cpp
@@ -34,7 +34,7 @@
     return update;
 }
 
-// One process of a fleet on loopback.
+// A process of a fleet on the loopback interface.
 struct Process {
     Process(boost::asio::io_context &context,
             const std::string &vm,
@@ -151,20 +151,20 @@
     runUntilAll(MemberStatus::Leaving, 1);
 }
 
-// Failure: after a loss of all power a failure domain serves nobody for half a second.
+// Guards against a failure domain that serves no requests for half a second after a power loss of the whole fleet.
 TEST(MemberService, seedLearnsOfTheMembersThatJoinThroughIt)
 {
     boost::asio::io_context context;
-    int onFirstMember = 0;
+    int calls = 0;
     const Endpoint unresponsive { "127.0.0.1", 9 };
-    Process first(context, "first", { unresponsive }, [&onFirstMember] {
-        ++onFirstMember;
+    Process first(context, "first", { unresponsive }, [&calls] {
+        ++calls;
     });
     Process second(context, "second", { first.transport.advertised() });
-    CHECK_TRUE(runUntil(context, [&onFirstMember] {
-        return onFirstMember > 0;
+    CHECK_TRUE(runUntil(context, [&calls] {
+        return calls > 0;
     }));
-    CHECK_EQUAL(1, onFirstMember);
+    CHECK_EQUAL(1, calls);
     CHECK_EQUAL(2, first.service.members().size());
     first.service.stop();
     second.service.stop();
