--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -13,7 +13,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/json.hpp>
 
-#include "../src/app/carriedservices.h"
+#include "../src/app/assignedservices.h"
 #include "mulberryplank/policy/membership.h"
 #include "mulberryplank/policy/pollerchoice.h"
 #include "plansize.h"
@@ -104,7 +104,7 @@
         fill();
         const double table = heapBytes() - empty;
         const auto onCarriers = [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {};
-        CarriedServices carried(m_services, m_config, onCarriers, m_members.front(), m_placement, m_events);
+        AssignedServices carried(m_services, m_config, onCarriers, m_members.front(), m_placement, m_events);
         auto list = std::make_shared<const std::vector<Member>>(m_members);
         const auto update = [&] {
             carried.update(list, m_config.applied(), m_now);
--- a/include/mulberryplank/app/eventlog.h
+++ b/include/mulberryplank/app/eventlog.h
@@ -11,22 +11,22 @@
 namespace mulberryplank
 {
 
-// Where and how much an EventLog writes.
+// Destination and filtering of an EventLog.
 struct EventLogSettings {
-    std::string file; // appended to; empty: standard error
-    Severity threshold = Severity::Info; // the least level that is written
-    std::vector<std::string> secrets; // texts that must never be written, such as the keys of the key files
-    std::optional<int> descriptor {}; // without a file: written to without waiting for its reader
+    std::string file; // appended to; empty: write to standard error
+    Severity threshold = Severity::Info; // minimum severity that is written
+    std::vector<std::string> secrets; // texts that must never be written, such as keys read from key files
+    std::optional<int> descriptor {}; // used if `file` is empty; written to without blocking
 };
 
-// Writes events through log4cxx, one line each:
+// Writes events through log4cxx, one line per event:
 //     2026-12-02T18:30:55.123Z WARN 501 target-ejected service=proofroom target=pr-3 detail="3 of 4 proxies agree"
-// The time is in UTC, with milliseconds. One process has one EventLog at a time.
+// Timestamps are in UTC with millisecond precision. A process must not have more than one EventLog at a time.
 //
-// A secret could get into a log by mistake in two ways: a new field is handed over that holds one (a request's
-// headers, say), or a harmless field's text happens to quote one (an error's detail). One would notice it only when
-// somebody reads the log who shouldn't know it. So a field whose key isn't on eventFields()' closed list is written
-// without its value, and every text that matches one of `secrets`, or follows "Bearer " or "Basic ", is blotted out.
+// A secret can reach a log by mistake in two ways: through a new field that holds one, such as a request's headers, or
+// through a harmless field whose text quotes one, such as an error's detail. Such a leak is noticed only after an
+// unauthorized person has read the log. Therefore the value of a field whose key isn't listed in eventFields() is
+// withheld, and so is every text that matches one of `secrets` or follows "Bearer " or "Basic ".
 class EventLog
 {
 public:
@@ -35,13 +35,13 @@
     EventLog(const EventLog &) = delete;
     EventLog &operator=(const EventLog &) = delete;
 
-    // Writes one event. May be called from any thread.
+    // Writes one event. Thread-safe.
     void write(Event event, std::initializer_list<EventField> fields);
 
-    // Returns how many lines were dropped because their reader was behind or they came too fast.
+    // Returns the number of lines dropped because the reader fell behind or the rate limit was exceeded.
     std::uint64_t linesDropped() const;
 
-    // Returns a sink that calls write(). It must not be called after this log is gone.
+    // Returns a sink that calls write(). The sink must not outlive this log.
     EventSink sink();
 
 private:
@@ -49,9 +49,8 @@
     std::unique_ptr<Private> m_private;
 };
 
-// Returns the line for an event as it stands after time and level. Values that hold blanks, quotes, equals signs or
-// control characters are quoted, with \" \\ \n \r and \xNN inside, so that a value can't pretend to be another line
-// or field.
+// Returns the part of an event's line that follows time and level. Values with blanks, quotes, equals signs or control
+// characters are quoted and escaped with \" \\ \n \r and \xNN, so that a value can't forge another line or field.
 std::string formatEvent(Event event, std::initializer_list<EventField> fields, const std::vector<std::string> &secrets);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/gatewaysettings.h
+++ b/include/mulberryplank/app/gatewaysettings.h
@@ -12,40 +12,40 @@
 namespace mulberryplank
 {
 
-// The settings of a gateway, checked as a whole. Each has a flag and an environment variable, and may stand in the file
-// that --config names.
+// The validated settings of a gateway. Each setting has a flag and an environment variable and can also be given in the
+// file named by --config.
 struct GatewaySettings {
     std::string file; // --config
     VmName vm; // --vm
     FailureDomain failureDomain; // --failure-domain
-    Endpoint caller; // --listen: HTTP for callers
-    Endpoint ready; // --ready: asked by the platform whether this process serves
-    Endpoint locate; // --locate: asked by callers where to connect
-    Endpoint peer; // --peer: UDP and TCP for other gateways
+    Endpoint caller; // --listen: HTTP requests of callers
+    Endpoint ready; // --ready: readiness checks of the platform, and metrics
+    Endpoint locate; // --locate: callers query the gateways to connect to
+    Endpoint peer; // --peer: UDP and TCP of other gateways
     Endpoint store; // --store: the platform's metadata store
-    Duration heartbeat = Millis(1'500); // --heartbeat-ms: of targets
-    Duration grace = Seconds(6); // --grace-s: from SIGTERM until the process is killed
-    Duration locateLifetime = Seconds(2); // --locate-lifetime-s: how long callers may keep an answer of locate
-    double retryRatio = 0.2; // --retry-ratio: extra attempts for each request of a service, over the fleet
+    Duration heartbeat = Millis(1'500); // --heartbeat-ms: interval between heartbeats of a target
+    Duration grace = Seconds(6); // --grace-s: time from SIGTERM until the process is killed
+    Duration locateLifetime = Seconds(2); // --locate-lifetime-s: how long callers may cache a locate response
+    double retryRatio = 0.2; // --retry-ratio: extra attempts per request of a service, fleet-wide
     Duration retryWindow = Seconds(10); // --retry-window-s
-    double retrySlack = 10; // --retry-slack: extra attempts of a service in a window besides, over the fleet
-    double cpuShare = 1; // --cpu-share: of a core that this process has
-    std::uint32_t entriesPerDomain = 1; // --entries-per-domain: gateways of each that callers are named, at least
-    bool firstStart = false; // --first-start: the whole fleet starts for the first time
+    double retrySlack = 10; // --retry-slack: fixed extra attempts per service and window, fleet-wide
+    double cpuShare = 1; // --cpu-share: number of cores available to this process, may be a fraction
+    std::uint32_t entriesPerDomain = 1; // --entries-per-domain: minimum ingress gateways per failure domain
+    bool firstStart = false; // --first-start: the whole fleet is starting for the first time
     std::string logLevel = "info"; // --log-level
 };
 
-// Returns the table of a gateway's settings.
+// Returns the descriptions of all gateway settings.
 const std::vector<OptionInfo> &gatewayOptions();
 
-// A gateway's settings together with where each came from.
+// A gateway's settings with the origin of each value.
 struct CheckedGatewaySettings {
     GatewaySettings settings;
     std::vector<EffectiveSetting> effective; // in the order of gatewayOptions()
 };
 
-// Reads a gateway's settings: a flag wins over the environment, which wins over the file, which wins over the default.
-// Everything that is wrong is told at once, with its place, the value and what is allowed. Errors: BadConfiguration.
+// Reads and validates a gateway's settings. Precedence, highest first: flag, environment, file, default. Reports all
+// invalid settings at once, each with its origin, its value and the allowed values. Errors: BadConfiguration.
 Result<CheckedGatewaySettings> checkGatewaySettings(int argc, char **argv, const EnvironmentLookup &environment);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/linewriter.h
+++ b/include/mulberryplank/app/linewriter.h
@@ -11,28 +11,28 @@
 namespace mulberryplank
 {
 
-// What stands before the number of dropped lines, on a line of its own.
-inline constexpr std::string_view LinesDroppedMark = "log-lines-dropped count=";
+// Prefix of the line that reports a number of dropped lines.
+inline constexpr std::string_view LinesDroppedPrefix = "log-lines-dropped count=";
 
 struct LineWriterSettings {
-    std::size_t bufferBytes = 64 * 1024; // what the reader may be behind by
-    // Of routine lines: some 50 KB a second.
+    std::size_t bufferBytes = 64 * 1024; // unread output that is buffered
+    // Rate limit of routine lines: about 50 KB a second.
     double linesPerSecond = 200;
     double burstLines = 400;
-    // Of important ones, besides. One in ten requests may fail at a thousand requests a second with all that is told of
-    // it, some three lines.
+    // Separate rate limit of important lines. At 1,000 requests a second, one request in ten may fail, and each failure
+    // logs about three lines.
     double importantPerSecond = 300;
     double importantBurst = 600;
 };
 
-// Lets so many lines through in a second, and some more at once after a pause. Not synchronized.
+// A token bucket that limits the rate of lines. Thread-compatible.
 class LineRate
 {
 public:
     LineRate(double perSecond, double burst);
 
-    // Returns true if one more line may go through now.
-    [[nodiscard]] bool take(Instant now);
+    // Takes a token and returns true if one more line may be written at `now`.
+    [[nodiscard]] bool tryAcquire(Instant now);
 
 private:
     const double m_perSecond;
@@ -41,22 +41,22 @@
     Instant m_filledAt {};
 };
 
-// Writes lines to a file descriptor without ever waiting for it: a process must not stand still because whoever reads
-// its log has stopped reading. Lines that don't fit, or come too fast, are dropped and counted; the next line that gets
-// through is preceded by one that says how many were. May be used by any thread.
+// Writes lines to a file descriptor without blocking, because a process must not stall when the reader of its log stops
+// reading. Lines that exceed the buffer or the rate limit are dropped and counted. The next line that is written is
+// preceded by a line with the number of dropped lines. Thread-safe.
 class LineWriter
 {
 public:
-    // Makes `descriptor` non-blocking. It must stay open as long as the writer.
+    // Makes `descriptor` non-blocking. It must outlive the writer.
     LineWriter(int descriptor, LineWriterSettings settings);
     LineWriter(const LineWriter &) = delete;
     LineWriter &operator=(const LineWriter &) = delete;
 
-    // Writes `line`, which ends with a line break. Important ones have a rate of their own, so that routine lines can't
-    // crowd them out.
+    // Writes `line`, which must end with a line break. Important lines have a separate rate limit, so that routine lines
+    // can't displace them.
     void write(std::string_view line, bool important, Instant now);
 
-    // Returns how many lines were dropped so far.
+    // Returns the total number of dropped lines.
     std::uint64_t dropped() const;
 
 private:
@@ -69,7 +69,7 @@
     LineRate m_routine;
     LineRate m_important;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_told = 0; // of the dropped
+    std::uint64_t m_reportedDropped = 0; // part of m_dropped
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/logline.h
+++ b/include/mulberryplank/app/logline.h
@@ -10,28 +10,28 @@
 namespace mulberryplank
 {
 
-// One field of a line of the log, as it was before it was quoted.
+// One field of a log line, with its unquoted value.
 struct LogField {
     std::string key;
     std::string value;
 };
 
-// One line of the log, read back.
+// One parsed log line.
 struct LogLine {
-    std::string time; // in UTC, as text that sorts by time
+    std::string time; // in UTC; the text sorts chronologically
     std::string level;
     int number = 0;
     std::string name;
     std::vector<LogField> fields;
 
-    // Returns true if the line tells of `event`.
+    // Returns true if the line reports `event`.
     bool is(Event event) const;
 
-    // Returns the field's value, or nothing where the line lacks it.
+    // Returns the field's value, or an empty string if the line lacks the field.
     std::string field(std::string_view key) const;
 };
 
-// Reads a line that EventLog wrote, without its line break. Returns nothing for any other text.
+// Parses a line written by EventLog, without its line break. Returns nullopt for any other text.
 std::optional<LogLine> parseLogLine(std::string_view text);
 
 } // namespace mulberryplank
--- a/src/app/commandtest.cpp
+++ b/src/app/commandtest.cpp
@@ -143,7 +143,7 @@
 // Failure: an account's weight goes up by two edits, or the command reports a conflict with its own edit.
 TEST(Command, editWhoseAnswerWasLostIsRepeatedUnderItsIdAndTakesEffectOnce)
 {
-    fleet.answersToLose = 2;
+    fleet.responsesToLose = 2;
     checkRun(person.run({ "table", "set", "kpc", "pressdesk", "weight=3" }), ExitCode::Done);
     LONGS_EQUAL(3, fleet.editsSent);
     LONGS_EQUAL(1, fleet.editIds.size());
@@ -152,7 +152,7 @@
 
 TEST(Command, editOfUnknownOutcomeIsNotCalledRefused)
 {
-    fleet.answersToLose = 1000;
+    fleet.responsesToLose = 1000;
     const Run run = person.run({ "accounts", "add", "shop" });
     checkRun(run, ExitCode::Unavailable);
     CHECK_TRUE(run.err.find("may or may not have been accepted") != std::string::npos);
@@ -173,7 +173,7 @@
     const Run late = person.run({ "table", "set", "kpc", "pressdesk", "weight=5" });
     checkRun(late, ExitCode::NotEverywhere);
     CHECK_TRUE(late.out.find("in force in 1 of 2 proxies\nmissing: vm-7\n") != std::string::npos);
-    fleet.away = true;
+    fleet.unreachable = true;
     checkRun(person.run({ "table", "set", "kpc", "pressdesk", "weight=2" }), ExitCode::Unavailable);
 }
 
--- a/src/app/eventlogtest.cpp
+++ b/src/app/eventlogtest.cpp
@@ -35,7 +35,7 @@
     return Names.at(static_cast<std::size_t>(severity));
 }
 
-// Returns the beginning of the event's row in docs/EVENTS.md as it has to be.
+// Returns the expected beginning of the event's row in docs/EVENTS.md.
 std::string expectedRow(const EventInfo &info)
 {
     std::string fields;
@@ -46,21 +46,21 @@
            + severityName(info.severity) + " | " + fields + " | ";
 }
 
-// "TargetEjected" for "target-ejected".
+// Returns "TargetEjected" for "target-ejected".
 std::string enumeratorOf(std::string_view name)
 {
     std::string enumerator;
     bool upper = true;
-    for (const char letter : name) {
-        if (letter != '-') {
-            enumerator += upper ? static_cast<char>(letter - 'a' + 'A') : letter;
+    for (const char character : name) {
+        if (character != '-') {
+            enumerator += upper ? static_cast<char>(character - 'a' + 'A') : character;
         }
-        upper = letter == '-';
+        upper = character == '-';
     }
     return enumerator;
 }
 
-// Returns "file: Event field" for each field in a source file that the event's list lacks.
+// Returns "file: Event field" for each field in a source file that isn't listed for the event.
 std::vector<std::string> unlistedFields(const std::filesystem::path &path)
 {
     const std::string text = readFile(path);
@@ -90,7 +90,7 @@
 
 TEST_GROUP(EventLog) {};
 
-TEST(EventLog, catalogueOnThePageIsTheOneInTheCode)
+TEST(EventLog, documentedCatalogueMatchesTheCode)
 {
     const std::string page = readFile(MULBERRYPLANK_SOURCE_DIR "/docs/EVENTS.md");
     for (const EventInfo &info : eventCatalogue()) {
@@ -113,7 +113,7 @@
     }
 }
 
-TEST(EventLog, noFieldIsMeantForSecrets)
+TEST(EventLog, noFieldNameSuggestsASecret)
 {
     for (const EventInfo &info : eventCatalogue()) {
         for (const std::string_view field : eventFields(info.event)) {
@@ -123,11 +123,11 @@
     }
 }
 
-// Failure: an account's or operator's credential is found in a log that many people may read.
-TEST(EventLog, secretIsWithheldWhereverItStandsInAField)
+// Guards against an account's or operator's credential in a log that many people may read.
+TEST(EventLog, secretIsWithheldAtAnyPositionInAField)
 {
     CHECK_TRUE(
-        rc::check("no text around a secret lets it through", [](const std::string &before, const std::string &after) {
+        rc::check("a secret is withheld whatever text surrounds it", [](const std::string &before, const std::string &after) {
             const std::string secret = "0123456789abcdef0123456789abcdef";
             const std::string known =
                 formatEvent(Event::TargetEjected, { { "detail", before + secret + after } }, { secret });
@@ -141,19 +141,19 @@
         }));
 }
 
-TEST(EventLog, noValueCanEndItsLineOrItsField)
+TEST(EventLog, valueCannotEndItsLineOrField)
 {
-    CHECK_TRUE(rc::check("a line stays one line with the fields it was given", [](const std::string &value) {
+    CHECK_TRUE(rc::check("any value yields one line with the given fields", [](const std::string &value) {
         const std::string line = formatEvent(Event::TargetEjected, { { "service", value }, { "target", "t-1" } }, {});
-        RC_ASSERT(std::none_of(line.begin(), line.end(), [](unsigned char letter) {
-            return std::iscntrl(letter) != 0;
+        RC_ASSERT(std::none_of(line.begin(), line.end(), [](unsigned char character) {
+            return std::iscntrl(character) != 0;
         }));
         const std::regex fields(R"re(501 target-ejected service=("(\\.|[^"\\])*"|[^ "=]+) target=t-1)re");
         RC_ASSERT(std::regex_match(line, fields));
     }));
 }
 
-TEST(EventLog, fileHoldsTimeLevelNumberNameAndFieldsOfWhatReachesTheThreshold)
+TEST(EventLog, fileHoldsTheFullLinesOfEventsAtOrAboveTheThreshold)
 {
     const std::filesystem::path path = std::filesystem::temp_directory_path() / "mulberryplank-eventlogtest.log";
     std::filesystem::remove(path);
@@ -169,8 +169,8 @@
     CHECK_TEXT(std::regex_match(text, line), text.c_str());
 }
 
-// Failure: a process ends with a segmentation fault at its first event.
-TEST(EventLog, linesReachTheDescriptorGiven)
+// Guards against a segmentation fault at the first event of a process that logs to a descriptor.
+TEST(EventLog, linesAreWrittenToTheGivenDescriptor)
 {
     std::array<int, 2> ends {};
     CHECK_EQUAL(0, ::pipe(ends.data()));
--- a/src/app/fakefleet.h
+++ b/src/app/fakefleet.h
@@ -10,18 +10,18 @@
 #include "mulberryplank/app/command.h"
 #include "mulberryplank/policy/tablecsv.h"
 
-// What the tests of the commands share.
+// Helpers shared by the tests of the commands.
 namespace mulberryplank::testfleet
 {
 
-// A fleet of one proxy over a log that takes effect at once, with faults to be switched on.
+// A fleet with one proxy whose edits take effect at once, with injectable faults.
 class FakeFleet
 {
 public:
     ConfigTable table;
-    std::vector<std::string> missing; // VMs that never get an edit
-    int answersToLose = 0; // of edits, after they took effect
-    bool away = false;
+    std::vector<std::string> missing; // VMs that never receive an edit
+    int responsesToLose = 0; // number of responses to edits that are lost after the edit took effect
+    bool unreachable = false;
     std::size_t editsSent = 0;
     std::set<std::string> editIds;
     std::string lastBody;
@@ -30,13 +30,13 @@
 
     Result<HttpReply> exchange(const HttpCall &call)
     {
-        if (away) {
+        if (unreachable) {
             return failure(ErrorKind::ConnectFailed, "connection refused");
         }
         if (call.bearer != "0123456789abcdef0123456789abcdef" && !call.path.starts_with("/-/locate/")) {
             return HttpReply { 401, R"({"error":"unauthenticated"})" };
         }
-        return call.method == "POST" ? edit(call.body) : HttpReply { 200, answer(call.path) };
+        return call.method == "POST" ? edit(call.body) : HttpReply { 200, queryResponse(call.path) };
     }
 
     // Applies an edit as another operator would.
@@ -58,8 +58,8 @@
         if (outcome.status == EditStatus::Repeated) {
             outcome = *table.outcomeOf(decoded->id);
         }
-        if (answersToLose > 0) {
-            --answersToLose;
+        if (responsesToLose > 0) {
+            --responsesToLose;
             return failure(ErrorKind::TargetReset, "connection reset");
         }
         if (outcome.status == EditStatus::Conflict) {
@@ -75,7 +75,7 @@
         return HttpReply { 200, boost::json::serialize(reply) };
     }
 
-    std::string answer(const std::string &path) const
+    std::string queryResponse(const std::string &path) const
     {
         if (path == "/-/table") {
             return exportTable(table);
@@ -111,14 +111,14 @@
     }
 };
 
-// What one run of the program left behind.
+// The result of one run of the program.
 struct Run {
     ExitCode code;
     std::string out;
     std::string err;
 };
 
-// The program's surroundings, with an operator's key and a folder for files.
+// Runs the program as an operator, with an operator's key and a folder for files.
 class Operator
 {
 public:
@@ -144,12 +144,12 @@
         return (m_folder / name).string();
     }
 
-    Run run(std::vector<std::string> words)
+    Run run(std::vector<std::string> arguments)
     {
-        words.insert(words.begin(), "mulberryplank");
+        arguments.insert(arguments.begin(), "mulberryplank");
         std::vector<char *> argv;
-        for (std::string &word : words) {
-            argv.push_back(word.data());
+        for (std::string &argument : arguments) {
+            argv.push_back(argument.data());
         }
         argv.push_back(nullptr);
         std::ostringstream out;
@@ -168,11 +168,11 @@
         };
         std::istringstream in(input);
         CommandContext context { environment, {}, in, out, err, exchange, [](Millis) {}, randomBytes };
-        const ExitCode code = runCommand(static_cast<int>(words.size()), argv.data(), context);
+        const ExitCode code = runCommand(static_cast<int>(arguments.size()), argv.data(), context);
         return { code, out.str(), err.str() };
     }
 
-    std::string input; // what a command reads from standard input
+    std::string input; // content of standard input
 
 private:
     FakeFleet &m_fleet;
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -32,32 +32,32 @@
 namespace internal
 {
 
-// What of the fleet's budget for extra attempts the gateways give themselves: those that have just started, or see
-// other members than the rest, may together take more than their shares, and some requests count for the attempts but
-// not for the budget.
-inline constexpr double BudgetGivenOut = 0.9;
+// Part of the fleet's retry budget that the gateways distribute among themselves. The rest is a reserve: gateways that
+// have just started or see different members may together use more than their shares, and the extra attempts of some
+// requests count although the requests don't add to the budget.
+inline constexpr double DistributedBudgetShare = 0.9;
 
-// How long what can wait of the reports for other entries does so.
-inline constexpr Duration ReportHold = Millis(40);
+// Maximum delay of reports to other ingress gateways that aren't urgent.
+inline constexpr Duration MaxReportDelay = Millis(40);
 
-// What an entry keeps of its budget for its own requests when another one asks for some.
-inline constexpr double LenderKeeps = 3;
+// Attempts of its budget that an ingress gateway reserves for its own requests when another gateway requests a loan.
+inline constexpr double LenderReserve = 3;
 
-// How long another gateway that gave no answer isn't asked for news, nor one without a list of targets for that: the
-// latter has it within an interval between reads.
-inline constexpr Duration SilenceLasts = Seconds(2);
-inline constexpr Duration ListMissingLasts = Millis(500);
+// How long a gateway that gave no response isn't queried for updates, and how long one without a list of targets isn't
+// queried for the list. The latter is shorter because such a gateway gets the list within one interval between reads.
+inline constexpr Duration UnresponsivePeerLifetime = Seconds(2);
+inline constexpr Duration MissingListLifetime = Millis(500);
 
 } // namespace internal
 
-// Wires one gateway together: a proxy whose routes, targets and fleet come from the platform's store. One thread runs
-// everything: the VMs give a process a part of one core.
+// Assembles a gateway: a proxy that gets its routes, targets and fleet members from the platform's store. Everything runs
+// on one thread, because the VMs give a process only a part of one core.
 class GatewayProcess
 {
 public:
     using Reload = std::function<Result<GatewaySettings>()>;
 
-    // Returns how many lines of the log were dropped so far.
+    // Returns the total number of dropped log lines.
     using LinesDropped = std::function<std::uint64_t()>;
 
     GatewayProcess(const GatewaySettings &settings, Reload reload, EventSink events, LinesDropped linesDropped);
@@ -70,10 +70,10 @@
     int run();
 
 private:
-    // Where to join: first the seeds of the own failure domain.
+    // Peers through which the process joins the fleet.
     struct Seeds {
         std::vector<Endpoint> peers;
-        std::size_t near = 0; // so many of them are those
+        std::size_t sameDomain = 0; // number of leading `peers` in the own failure domain
     };
 
     // gatewayprocess.cpp
@@ -83,23 +83,23 @@
     boost::asio::awaitable<void> tickForever();
     void awaitSignal();
     void reloadSettings();
-    void noteFileChange();
+    void checkSettingsFile();
     boost::asio::awaitable<void> drain();
     void finish();
 
-    // gatewayjoin.cpp: how the other gateways are found
+    // gatewayjoin.cpp: joining the fleet
     boost::asio::awaitable<void> joinFleetAndStart();
-    void startPeers(const FleetBootstrap &entry);
-    void takeDatagrams();
+    void startPeers(const FleetBootstrap &bootstrap);
+    void registerDatagramHandlers();
     void startMembers(const Seeds &seeds);
-    void beginNews();
-    void keepSeeds(std::vector<FleetSeed> seeds);
+    void startDiscovery();
+    void startSeedPublisher(std::vector<FleetSeed> seeds);
     FleetSeed ownSeed() const;
     Seeds otherSeeds(const std::vector<FleetSeed> &seeds) const;
 
-    // gatewayfleet.cpp: the other gateways
-    void followMembers();
-    void takeReports(const std::vector<AttemptReport> &reports);
+    // gatewayfleet.cpp: communication with other gateways
+    void applyMembers();
+    void mergeReports(const std::vector<AttemptReport> &reports);
     void notePeerUnreadable(const PeerSender &sender, const Error &error);
     void shareSuccesses();
     void sendReports(const std::vector<AttemptReport> &reports);
@@ -107,23 +107,23 @@
     void requestBudget(const ServiceName &name);
     void lendBudget(const PeerSender &sender, const BudgetMessage &message);
     void borrowBudget(const BudgetMessage &message);
-    void tellNewsChanged(const UpdateHint &hint);
-    void tellNear(const UpdateHint &hint);
-    std::vector<Member> membersNear() const;
+    void announceAsReader(const UpdateHint &hint);
+    void announceInDomain(const UpdateHint &hint);
+    std::vector<Member> othersInDomain() const;
     boost::asio::awaitable<Result<PeerUpdate>> queryPeer(PeerUpdateRequest request);
-    boost::asio::awaitable<Result<PeerUpdate>> askPeerForList(PeerUpdateRequest request);
+    boost::asio::awaitable<Result<PeerUpdate>> queryPeerForList(PeerUpdateRequest request);
     boost::asio::awaitable<Result<PeerUpdate>> queryReader(PeerUpdateRequest request);
     boost::asio::awaitable<Result<PeerUpdate>> ask(Member peer, PeerUpdateRequest request, Duration limit);
-    bool isEntry() const;
-    bool anotherReads() const; // the store, for this failure domain
+    bool isIngress() const;
+    bool hasOtherReader() const; // true: another gateway is the designated reader of this failure domain
     Member self() const;
     std::vector<Member> members() const;
     LocateResponse locate(const FailureDomain &callerDomain) const;
 
-    // gatewayqueries.cpp: what others ask of the process
-    boost::asio::awaitable<AdminResponse> answerReady(AdminRequest request);
-    boost::asio::awaitable<AdminResponse> answerLocate(AdminRequest request);
-    boost::asio::awaitable<void> awaitJoined();
+    // gatewayqueries.cpp: readiness, locate, metrics and dumps
+    boost::asio::awaitable<AdminResponse> handleReady(AdminRequest request);
+    boost::asio::awaitable<AdminResponse> handleLocate(AdminRequest request);
+    boost::asio::awaitable<void> awaitJoin();
     bool isReady() const;
     std::uint64_t versionInForce() const; // of the configuration; 0: none yet
     std::string dump() const;
@@ -139,7 +139,7 @@
     std::mt19937_64 m_random;
     Worker m_worker;
     platform::StoreClient m_store;
-    // Where what others tell of a target belongs.
+    // The target that a report of another gateway refers to.
     struct KnownTarget {
         ForwardService *service = nullptr;
         TargetName name;
@@ -148,27 +148,28 @@
     std::map<ServiceName, std::unique_ptr<ForwardService>> m_services;
     std::unordered_map<TargetKey, KnownTarget> m_targetsByKey;
     GatewayContext m_gateway;
-    std::unique_ptr<DiscoveryClient> m_news;
+    std::unique_ptr<DiscoveryClient> m_discovery;
     std::unique_ptr<GatewayServer> m_server;
     AdminServer m_readyServer;
     AdminServer m_locateServer;
-    std::unique_ptr<PeerTransport> m_peers; // from the moment on at which the fleet's key is known
+    std::unique_ptr<PeerTransport> m_peers; // set once the fleet's key is known
     std::unique_ptr<MemberService> m_members; // likewise
     std::unique_ptr<SeedPublisher> m_seeds; // likewise
-    std::size_t m_seedsNamed = 0; // in the store, as of the start
-    bool m_startsFirst = false; // with the whole fleet, for the first time
-    bool m_newsBegun = false;
+    std::size_t m_registeredSeeds = 0; // number of seeds in the store when the process started
+    bool m_isFirstStart = false; // the whole fleet is starting for the first time
+    bool m_discoveryStarted = false;
     const Instant m_startedAt = Clock::now();
-    ReportBatch m_reports; // for the other entries
+    ReportBatch m_reports; // for the other ingress gateways
     Timer m_reportsDue;
     bool m_awaitsReportsDue = false;
-    RetryAllowanceShare m_retryAllowanceShare; // of the fixed part of each service's budget
-    std::vector<Member> m_entries; // the gateways that callers are named
-    std::optional<Member> m_reader; // that reads the store for this failure domain; who knows the same members agrees
+    RetryAllowanceShare m_retryAllowanceShare; // this gateway's share of each service's fixed retry allowance
+    std::vector<Member> m_ingressMembers; // the gateways that callers are directed to
+    // Reads the store for this failure domain. Gateways that know the same members choose the same reader.
+    std::optional<Member> m_designatedReader;
     bool m_readsConfiguration = false; // from the store
-    RecentlyFailedPeers m_silentPeers { internal::SilenceLasts };
-    RecentlyFailedPeers m_peersWithoutList { internal::ListMissingLasts };
-    std::shared_ptr<const std::vector<Member>> m_followed; // the members that m_entries were chosen from
+    RecentlyFailedPeers m_unresponsivePeers { internal::UnresponsivePeerLifetime };
+    RecentlyFailedPeers m_peersWithoutList { internal::MissingListLifetime };
+    std::shared_ptr<const std::vector<Member>> m_appliedMembers; // the members that m_ingressMembers were chosen from
     boost::asio::signal_set m_signals;
     std::filesystem::file_time_type m_fileTime {};
     Instant m_nextFileCheck {};
--- a/src/app/gatewayqueries.cpp
+++ b/src/app/gatewayqueries.cpp
@@ -21,7 +21,7 @@
 constexpr int StatusUnavailable = 503;
 // From the start, that callers wait to be told where to connect; they ask another gateway after a second.
 constexpr Duration LocateWait = Millis(500);
-constexpr Duration JoinedLookAgain = Millis(10);
+constexpr Duration JoinPollInterval = Millis(10);
 
 double number(std::uint64_t value)
 {
@@ -34,16 +34,16 @@
 
 std::uint64_t GatewayProcess::versionInForce() const
 {
-    const RouteTablePtr routes = m_news->routes();
+    const RouteTablePtr routes = m_discovery->routes();
     return routes ? routes->version : 0;
 }
 
 bool GatewayProcess::isReady() const
 {
-    return m_news->routes() != nullptr && !m_draining;
+    return m_discovery->routes() != nullptr && !m_draining;
 }
 
-asio::awaitable<AdminResponse> GatewayProcess::answerReady(AdminRequest request)
+asio::awaitable<AdminResponse> GatewayProcess::handleReady(AdminRequest request)
 {
     if (request.path == platform::ReadyPath) {
         const int status = isReady() ? internal::StatusOk : internal::StatusUnavailable;
@@ -52,12 +52,12 @@
     co_return AdminResponse { internal::StatusOk, "text/plain; version=0.0.4", metrics() };
 }
 
-asio::awaitable<AdminResponse> GatewayProcess::answerLocate(AdminRequest request)
+asio::awaitable<AdminResponse> GatewayProcess::handleLocate(AdminRequest request)
 {
-    co_await awaitJoined();
+    co_await awaitJoin();
     const platform::LocateQuery query = platform::decodeLocateQuery(request.query);
-    if (!m_members || m_members->snapshot() != m_followed) {
-        followMembers();
+    if (!m_members || m_members->snapshot() != m_appliedMembers) {
+        applyMembers();
     }
     co_return AdminResponse { internal::StatusOk,
                               "application/json",
@@ -65,10 +65,10 @@
 }
 
 // A gateway that has just started knows nobody, and would send its callers to itself, however weak it is.
-asio::awaitable<void> GatewayProcess::awaitJoined()
+asio::awaitable<void> GatewayProcess::awaitJoin()
 {
-    while (!m_newsBegun && Clock::now() < m_startedAt + internal::LocateWait) {
-        co_await sleepFor(m_worker.context, internal::JoinedLookAgain);
+    while (!m_discoveryStarted && Clock::now() < m_startedAt + internal::LocateWait) {
+        co_await sleepFor(m_worker.context, internal::JoinPollInterval);
     }
 }
 
@@ -80,16 +80,16 @@
     state["ready"] = isReady();
     state["draining"] = m_draining;
     state["version"] = versionInForce();
-    state["store_answers"] = m_news->storeResponds();
+    state["store_answers"] = m_discovery->storeResponds();
     state["store_calls"] = m_store.calls();
     state["in_flight"] = m_gateway.inFlight;
     state["connections"] = m_gateway.connections;
     state["members"] = members().size();
-    boost::json::array entries;
-    for (const Member &entry : m_entries) {
-        entries.emplace_back(entry.vm.value());
+    boost::json::array ingressNames;
+    for (const Member &member : m_ingressMembers) {
+        ingressNames.emplace_back(member.vm.value());
     }
-    state["entries"] = std::move(entries);
+    state["entries"] = std::move(ingressNames);
     boost::json::object services;
     for (const auto &[name, known] : m_services) {
         boost::json::array targets;
@@ -114,16 +114,17 @@
     m_gateway.forward.metrics.write(text);
     writeRequestMetrics(text);
     writeServiceMetrics(text);
-    const std::optional<Instant> listRead = m_news->targetsReadAt();
+    const std::optional<Instant> listRead = m_discovery->targetsReadAt();
     text.single("config_version", "gauge", "Version of the configuration in force.", number(versionInForce()));
     text.single("target_list_age_seconds",
                 "gauge",
                 "Since the list of targets was read from the store; -1 before it was.",
                 listRead ? toSeconds(Clock::now() - *listRead) : -1);
-    text.single("store_answers", "gauge", "1 while the store answers this process.", m_news->storeResponds() ? 1 : 0);
+    text.single(
+        "store_answers", "gauge", "1 while the store answers this process.", m_discovery->storeResponds() ? 1 : 0);
     text.single("store_calls_total", "counter", "Calls to the store.", number(m_store.calls()));
     text.single("members", "gauge", "Gateways that this one knows, itself included.", number(members().size()));
-    text.single("entries", "gauge", "Gateways that callers are named.", number(m_entries.size()));
+    text.single("entries", "gauge", "Gateways that callers are named.", number(m_ingressMembers.size()));
     text.single("log_lines_dropped_total", "counter", "Lines that the log dropped.", number(m_linesDropped()));
     return text.text();
 }
