--- a/include/mulberryplank/app/linewriter.h
+++ b/include/mulberryplank/app/linewriter.h
@@ -52,8 +52,8 @@
     LineWriter(const LineWriter &) = delete;
     LineWriter &operator=(const LineWriter &) = delete;
 
-    // Writes `line`, which must end with a line break. Important lines have a separate rate limit, so that routine lines
-    // can't displace them.
+    // Writes `line`, which must end with a line break. Important lines have a separate rate limit, so that routine
+    // lines can't displace them.
     void write(std::string_view line, bool important, Instant now);
 
     // Returns the total number of dropped lines.
--- a/include/mulberryplank/app/requesttrace.h
+++ b/include/mulberryplank/app/requesttrace.h
@@ -22,8 +22,8 @@
 };
 
 // Collects the log lines of several gateways about one request and prints them in chronological order. Reads line by
-// line and keeps only relevant lines, so logs can be of any size. The clocks of VMs may differ, so the order of lines of
-// different gateways is only as accurate as these clocks. Thread-compatible.
+// line and keeps only relevant lines, so logs can be of any size. The clocks of VMs may differ, so the order of lines
+// of different gateways is only as accurate as these clocks. Thread-compatible.
 class RequestTrace
 {
 public:
--- a/src/app/assignedservices.h
+++ b/src/app/assignedservices.h
@@ -17,8 +17,8 @@
 
 // Updates this process's set of services when the configuration or the members of the fleet change. Starts serving a
 // service when placement assigns it to this process. Stops serving a service that is reassigned to other proxies after
-// the callers' cached locate responses have expired. Only services that are served here get a view of the configuration.
-// Must be used on the control thread, except for assignedProxiesOf().
+// the callers' cached locate responses have expired. Only services that are served here get a view of the
+// configuration. Must be used on the control thread, except for assignedProxiesOf().
 class AssignedServices
 {
 public:
--- a/src/app/assignedservicestest.cpp
+++ b/src/app/assignedservicestest.cpp
@@ -169,55 +169,57 @@
 // Guards against a proxy that keeps an old table for some services, or serves a service assigned to other proxies.
 TEST(AssignedServices, servesAssignedServicesAfterAnyEditsSnapshotsAndMemberChanges)
 {
-    CHECK_TRUE(rc::check("each served service is assigned here or being released, and has the newest configuration", [this] {
-        ConfigState config;
-        ServiceRegistry registry;
-        AssignedServices assignedServices(
-            registry,
-            config,
-            [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {},
-            m_self,
-            m_settings,
-            [](Event, std::initializer_list<EventField>) {});
-        const auto edits = generateLog();
-        std::size_t next = 0;
-        while (next < edits.size()) {
-            const auto count = *rc::gen::inRange<std::size_t>(1, 6);
-            ConfigState peer;
-            const std::size_t end = std::min(edits.size(), next + count);
-            const std::vector<std::string> records(edits.begin(), edits.begin() + static_cast<std::ptrdiff_t>(end));
-            RC_ASSERT(peer.learn({ 0, {}, records }).has_value());
-            if (*rc::gen::arbitrary<bool>()) {
-                RC_ASSERT(config.learn({ 0, {}, records }).has_value());
-            } else {
-                peer.read([&config](const ConfigTable &table) {
-                    RC_ASSERT(config.load(ConfigTable::fromSnapshot(table.snapshot()).value()).has_value());
+    CHECK_TRUE(
+        rc::check("each served service is assigned here or being released, and has the newest configuration", [this] {
+            ConfigState config;
+            ServiceRegistry registry;
+            AssignedServices assignedServices(
+                registry,
+                config,
+                [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {},
+                m_self,
+                m_settings,
+                [](Event, std::initializer_list<EventField>) {});
+            const auto edits = generateLog();
+            std::size_t next = 0;
+            while (next < edits.size()) {
+                const auto count = *rc::gen::inRange<std::size_t>(1, 6);
+                ConfigState peer;
+                const std::size_t end = std::min(edits.size(), next + count);
+                const std::vector<std::string> records(edits.begin(), edits.begin() + static_cast<std::ptrdiff_t>(end));
+                RC_ASSERT(peer.learn({ 0, {}, records }).has_value());
+                if (*rc::gen::arbitrary<bool>()) {
+                    RC_ASSERT(config.learn({ 0, {}, records }).has_value());
+                } else {
+                    peer.read([&config](const ConfigTable &table) {
+                        RC_ASSERT(config.load(ConfigTable::fromSnapshot(table.snapshot()).value()).has_value());
+                    });
+                }
+                next = end;
+                const std::vector<Member> members =
+                    *rc::gen::arbitrary<bool>() ? std::vector { m_self, m_other } : std::vector { m_self };
+                assignedServices.update(
+                    std::make_shared<const std::vector<Member>>(members), config.applied(), Instant {});
+                std::size_t assignedHere = 0;
+                config.read([&](const ConfigTable &table) {
+                    for (const Service *item : table.services()) {
+                        const ServiceSize size { table.targetsOf(item->name).size(), 0 };
+                        const auto assigned = assignedProxies(item->name, members, m_settings, size);
+                        const bool here = std::count(assigned.begin(), assigned.end(), m_self) > 0;
+                        assignedHere += here ? 1 : 0;
+                        const auto served = registry.find(item->name);
+                        RC_ASSERT(served || !here);
+                        if (served) {
+                            RC_ASSERT(served->config->service == *item);
+                            RC_ASSERT(served->config->targets.size() == size.targets);
+                            RC_ASSERT(served->config->rows.size() == table.rowsOf(item->name).size());
+                        }
+                    }
+                    for (const ServedService &served : registry.all()) {
+                        RC_ASSERT(table.service(served.config->service.name) != nullptr);
+                    }
                 });
+                RC_ASSERT(assignedServices.count() == assignedHere);
             }
-            next = end;
-            const std::vector<Member> members =
-                *rc::gen::arbitrary<bool>() ? std::vector { m_self, m_other } : std::vector { m_self };
-            assignedServices.update(std::make_shared<const std::vector<Member>>(members), config.applied(), Instant {});
-            std::size_t assignedHere = 0;
-            config.read([&](const ConfigTable &table) {
-                for (const Service *item : table.services()) {
-                    const ServiceSize size { table.targetsOf(item->name).size(), 0 };
-                    const auto assigned = assignedProxies(item->name, members, m_settings, size);
-                    const bool here = std::count(assigned.begin(), assigned.end(), m_self) > 0;
-                    assignedHere += here ? 1 : 0;
-                    const auto served = registry.find(item->name);
-                    RC_ASSERT(served || !here);
-                    if (served) {
-                        RC_ASSERT(served->config->service == *item);
-                        RC_ASSERT(served->config->targets.size() == size.targets);
-                        RC_ASSERT(served->config->rows.size() == table.rowsOf(item->name).size());
-                    }
-                }
-                for (const ServedService &served : registry.all()) {
-                    RC_ASSERT(table.service(served.config->service.name) != nullptr);
-                }
-            });
-            RC_ASSERT(assignedServices.count() == assignedHere);
-        }
-    }));
+        }));
 }
--- a/src/app/eventlogtest.cpp
+++ b/src/app/eventlogtest.cpp
@@ -126,8 +126,8 @@
 // Guards against an account's or operator's credential in a log that many people may read.
 TEST(EventLog, secretIsWithheldAtAnyPositionInAField)
 {
-    CHECK_TRUE(
-        rc::check("a secret is withheld whatever text surrounds it", [](const std::string &before, const std::string &after) {
+    CHECK_TRUE(rc::check(
+        "a secret is withheld whatever text surrounds it", [](const std::string &before, const std::string &after) {
             const std::string secret = "0123456789abcdef0123456789abcdef";
             const std::string known =
                 formatEvent(Event::TargetEjected, { { "detail", before + secret + after } }, { secret });
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -18,13 +18,13 @@
 namespace
 {
 
-// Timeout for the designated reader to begin its response; after it, other gateways and the store are queried. A piece of
-// a configuration takes 50 ms on the slowest VMs' links when these are idle.
+// Timeout for the designated reader to begin its response; after it, other gateways and the store are queried. A piece
+// of a configuration takes 50 ms on the slowest VMs' links when these are idle.
 constexpr Duration ReaderTimeout = Millis(400);
 // Timeout for another gateway to begin its response with a piece of a configuration. Its link may be as slow.
 constexpr Duration PeerTimeout = Millis(500);
-// Timeout for another gateway to begin its response with a list of targets. The list has to be known within two seconds,
-// whichever process fails.
+// Timeout for another gateway to begin its response with a list of targets. The list has to be known within two
+// seconds, whichever process fails.
 constexpr Duration ListTimeout = Millis(400);
 // Timeout for the rest of a response. A list of 58,000 targets takes 0.7 s on the slowest VMs' links even without other
 // traffic.
@@ -62,8 +62,8 @@
     return *m_members->snapshot();
 }
 
-// Applies the current list of members. Called with each tick, and before a locate response if the list has changed since
-// the last call.
+// Applies the current list of members. Called with each tick, and before a locate response if the list has changed
+// since the last call.
 void GatewayProcess::applyMembers()
 {
     m_appliedMembers = m_members ? m_members->snapshot() : nullptr;
@@ -78,8 +78,8 @@
     m_ingressMembers = ingressMembers(all, ingressSettings);
     m_designatedReader = designatedReader(all, m_settings.failureDomain);
     m_readsConfiguration = isAmongTopRanked(all, m_incarnation, internal::ConfigurationReaders);
-    // The fixed retry allowance goes to the ingress gateways, which receive the requests. The other gateways have only the
-    // budget that their own requests add.
+    // The fixed retry allowance goes to the ingress gateways, which receive the requests. The other gateways have only
+    // the budget that their own requests add.
     const Instant now = Clock::now();
     m_retryAllowanceShare.update(m_ingressMembers.size(), isIngress(), now);
     const double fixedAllowance = m_retryAllowanceShare.fixedAllowance(now);
@@ -294,11 +294,11 @@
     co_return update;
 }
 
-asio::awaitable<Result<PeerUpdate>> GatewayProcess::ask(Member peer, PeerUpdateRequest request, Duration limit)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::ask(Member peer, PeerUpdateRequest request, Duration timeout)
 {
     std::string payload = encode(request);
     const Result<std::string> response = co_await m_peers->call(
-        peer.peer, PeerKind::UpdateQuery, std::move(payload), limit, internal::UpdateBodyTimeout);
+        peer.peer, PeerKind::UpdateQuery, std::move(payload), timeout, internal::UpdateBodyTimeout);
     if (!response) {
         m_unresponsivePeers.note(peer.incarnation, Clock::now());
         m_peersWithoutList.note(peer.incarnation, Clock::now());
--- a/src/app/gatewayjoin.cpp
+++ b/src/app/gatewayjoin.cpp
@@ -1,4 +1,4 @@
-// How a gateway finds the others.
+// How a gateway joins the fleet.
 #include "gatewayprocess.h"
 
 #include <array>
@@ -21,11 +21,12 @@
 namespace
 {
 
-// Until a gateway that has onFirstMember no other one goes on without: its seeds may all be gone, or start at the same
-// moment.
+// How long a gateway waits for its first other member before it continues alone. All its seeds may have stopped, or may
+// be starting at the same moment.
 constexpr Duration JoinTimeout = Seconds(1);
-// When a whole fleet starts for the first time, all join through the one that made the key, and there are no callers
-// yet: they come one after the other, and nobody reads the store before most are known, else each would do so.
+// When a whole fleet starts for the first time, all gateways join through the one that created the key, and there are
+// no callers yet. The gateways join at random times within the jitter, and none reads the store before the timeout,
+// when most members are known: otherwise each gateway would read all of it.
 constexpr Duration FirstJoinJitter = Seconds(1);
 constexpr Duration FirstJoinTimeout = Seconds(3);
 constexpr std::size_t KeySize = 32; // bytes
@@ -35,7 +36,7 @@
     constexpr std::string_view Digits = "0123456789abcdef";
     std::array<unsigned char, KeySize> bytes {};
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
-        throw std::runtime_error("no random numbers to be had");
+        throw std::runtime_error("the random number generator failed");
     }
     std::string key;
     for (const unsigned char byte : bytes) {
@@ -60,7 +61,7 @@
     const KeyedStore store = m_store.access();
     const FleetBootstrap bootstrap = co_await joinFleet(m_worker.context, store, settings, createKey, jitter);
     m_registeredSeeds = bootstrap.seeds.size();
-    // One that is restarted soon after the first start may be told of that still.
+    // A gateway that is restarted soon after the first start may still have the setting for it.
     m_isFirstStart = m_settings.firstStart && m_registeredSeeds <= 1;
     if (m_isFirstStart) {
         co_await sleepFor(m_worker.context, std::chrono::duration_cast<Duration>(internal::FirstJoinJitter * jitter()));
@@ -70,8 +71,9 @@
     startDiscovery();
 }
 
-// Follows the configuration and the targets from now on. Before others are known every start would read all of it from
-// the store, which a fleet that starts at once can't bear.
+// Starts reading the configuration and the targets. Called once other members are known or the wait for them has ended:
+// otherwise each gateway would read everything from the store at its start, which would overload the store when a whole
+// fleet starts at once.
 void GatewayProcess::startDiscovery()
 {
     if (m_discoveryStarted) {
@@ -92,7 +94,8 @@
     return { m_settings.vm, m_settings.peer, m_settings.failureDomain };
 }
 
-// The seeds of the own failure domain go first: one of them reads the store for this gateway.
+// Returns the seeds except this process, those of the own failure domain first: one of them reads the store for this
+// gateway.
 GatewayProcess::Seeds GatewayProcess::otherSeeds(const std::vector<FleetSeed> &seeds) const
 {
     Seeds others;
--- a/src/app/gatewayprocess.cpp
+++ b/src/app/gatewayprocess.cpp
@@ -28,12 +28,13 @@
 namespace
 {
 
-constexpr Duration TickInterval = Millis(500); // of what needs no haste: members, files, expiries
+constexpr Duration TickInterval = Millis(500); // of tasks that aren't urgent: members, files, expiries
 constexpr Duration FileCheckInterval = Seconds(2);
 constexpr Duration DrainPollInterval = Millis(50);
-// Before the end of the grace: what is still under way then is aborted, which must not take the system's kill.
+// The process finishes this long before the end of the grace period and aborts the remaining requests, so that the
+// system doesn't have to kill it.
 constexpr Duration FinishMargin = Millis(600);
-// After the time for which callers keep an answer of locate: some keep it a little longer.
+// Added to the lifetime of a locate response, because some callers keep a response slightly longer.
 constexpr Duration LifetimeMargin = Seconds(1);
 
 TargetPool::Settings poolSettings()
@@ -224,7 +225,7 @@
     }
 }
 
-// The settings' file may change without a signal.
+// Reloads the settings if the settings file has changed, which can happen without a signal.
 void GatewayProcess::checkSettingsFile()
 {
     if (m_settings.file.empty()) {
@@ -247,8 +248,8 @@
     }
 }
 
-// Takes over what can change while the process runs. Addresses and names are this process's identity: new ones are in
-// force after a restart.
+// Applies the settings that can change while the process runs. Addresses and names are the process's identity, so
+// changes to them take effect after a restart.
 void GatewayProcess::reloadSettings()
 {
     const Result<GatewaySettings> read = m_reload();
@@ -284,9 +285,9 @@
     });
 }
 
-// Callers keep an answer of locate for its lifetime and connect here on its strength, so the process goes on as before
-// for that long; its answers ask callers to connect elsewhere. After that new requests are refused, and the process
-// ends with the last one under way.
+// Callers cache a locate response for its lifetime and may connect here until it expires. The process therefore
+// continues to serve for that time, and its responses request that callers connect to another gateway. After that, new
+// requests are rejected, and the process finishes with the last request in progress.
 asio::awaitable<void> GatewayProcess::drain()
 {
     m_draining = true;
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -33,8 +33,8 @@
 {
 
 // Part of the fleet's retry budget that the gateways distribute among themselves. The rest is a reserve: gateways that
-// have just started or see different members may together use more than their shares, and the extra attempts of some
-// requests count although the requests don't add to the budget.
+// have just started or see different members may together use more than their shares, and some requests count as
+// attempts but don't add to the budget.
 inline constexpr double DistributedBudgetShare = 0.9;
 
 // Maximum delay of reports to other ingress gateways that aren't urgent.
@@ -50,8 +50,8 @@
 
 } // namespace internal
 
-// Assembles a gateway: a proxy that gets its routes, targets and fleet members from the platform's store. Everything runs
-// on one thread, because the VMs give a process only a part of one core.
+// Assembles a gateway: a proxy that gets its routes, targets and fleet members from the platform's store. Everything
+// runs on one thread, because the VMs give a process only a part of one core.
 class GatewayProcess
 {
 public:
@@ -113,7 +113,7 @@
     boost::asio::awaitable<Result<PeerUpdate>> queryPeer(PeerUpdateRequest request);
     boost::asio::awaitable<Result<PeerUpdate>> queryPeerForList(PeerUpdateRequest request);
     boost::asio::awaitable<Result<PeerUpdate>> queryReader(PeerUpdateRequest request);
-    boost::asio::awaitable<Result<PeerUpdate>> ask(Member peer, PeerUpdateRequest request, Duration limit);
+    boost::asio::awaitable<Result<PeerUpdate>> ask(Member peer, PeerUpdateRequest request, Duration timeout);
     bool isIngress() const;
     bool hasOtherReader() const; // true: another gateway is the designated reader of this failure domain
     Member self() const;
--- a/src/app/gatewayqueries.cpp
+++ b/src/app/gatewayqueries.cpp
@@ -19,11 +19,11 @@
 
 constexpr int StatusOk = 200;
 constexpr int StatusUnavailable = 503;
-// From the start, that callers wait to be told where to connect; they ask another gateway after a second.
+// How long after the start a locate request may wait. Callers query another gateway after a second.
 constexpr Duration LocateWait = Millis(500);
 constexpr Duration JoinPollInterval = Millis(10);
 
-double number(std::uint64_t value)
+double toDouble(std::uint64_t value)
 {
     return static_cast<double>(value);
 }
@@ -64,7 +64,8 @@
                               platform::encodeLocateAnswer(locate(query.failureDomain)) };
 }
 
-// A gateway that has just started knows nobody, and would send its callers to itself, however weak it is.
+// Waits until the gateway has joined the fleet. Before that it knows no other member and would direct all its callers
+// to itself, whatever its capacity.
 asio::awaitable<void> GatewayProcess::awaitJoin()
 {
     while (!m_discoveryStarted && Clock::now() < m_startedAt + internal::LocateWait) {
@@ -109,69 +110,69 @@
 
 std::string GatewayProcess::metrics() const
 {
-    using internal::number;
+    using internal::toDouble;
     MetricsText text;
     m_gateway.forward.metrics.write(text);
     writeRequestMetrics(text);
     writeServiceMetrics(text);
     const std::optional<Instant> listRead = m_discovery->targetsReadAt();
-    text.single("config_version", "gauge", "Version of the configuration in force.", number(versionInForce()));
+    text.single("config_version", "gauge", "Version of the configuration in force.", toDouble(versionInForce()));
     text.single("target_list_age_seconds",
                 "gauge",
-                "Since the list of targets was read from the store; -1 before it was.",
+                "Seconds since the list of targets was read from the store; -1 before the first read.",
                 listRead ? toSeconds(Clock::now() - *listRead) : -1);
     text.single(
-        "store_answers", "gauge", "1 while the store answers this process.", m_discovery->storeResponds() ? 1 : 0);
-    text.single("store_calls_total", "counter", "Calls to the store.", number(m_store.calls()));
-    text.single("members", "gauge", "Gateways that this one knows, itself included.", number(members().size()));
-    text.single("entries", "gauge", "Gateways that callers are named.", number(m_ingressMembers.size()));
-    text.single("log_lines_dropped_total", "counter", "Lines that the log dropped.", number(m_linesDropped()));
+        "store_answers", "gauge", "1 while the store responds to this process.", m_discovery->storeResponds() ? 1 : 0);
+    text.single("store_calls_total", "counter", "Calls to the store.", toDouble(m_store.calls()));
+    text.single("members", "gauge", "Gateways that this one knows, itself included.", toDouble(members().size()));
+    text.single("entries", "gauge", "Gateways that callers are directed to.", toDouble(m_ingressMembers.size()));
+    text.single("log_lines_dropped_total", "counter", "Log lines that were dropped.", toDouble(m_linesDropped()));
     return text.text();
 }
 
 void GatewayProcess::writeRequestMetrics(MetricsText &text) const
 {
-    using internal::number;
+    using internal::toDouble;
     const ForwardCounters &counters = m_gateway.forward.counters;
-    text.single("in_flight", "gauge", "Requests under way.", number(m_gateway.inFlight));
-    text.single("caller_connections", "gauge", "Open connections of callers.", number(m_gateway.connections));
+    text.single("in_flight", "gauge", "Requests in progress.", toDouble(m_gateway.inFlight));
+    text.single("caller_connections", "gauge", "Open connections of callers.", toDouble(m_gateway.connections));
     text.single("connections_refused_total",
                 "counter",
-                "Connections of callers beyond the bound, each told to come back.",
-                number(m_gateway.connectionsRefused));
+                "Connections of callers rejected beyond the limit, to be retried later.",
+                toDouble(m_gateway.connectionsRefused));
     text.single("accept_errors_total",
                 "counter",
-                "Connections that could not be taken, mostly for lack of descriptors.",
-                number(m_gateway.acceptErrors));
-    text.single("retries_total", "counter", "Attempts after a failed one.", number(counters.retries));
-    text.single("hedges_total", "counter", "Attempts beside a slow one.", number(counters.hedges));
+                "Connections that could not be accepted, mostly for lack of file descriptors.",
+                toDouble(m_gateway.acceptErrors));
+    text.single("retries_total", "counter", "Attempts after a failed one.", toDouble(counters.retries));
+    text.single("hedges_total", "counter", "Attempts started in parallel to a slow one.", toDouble(counters.hedges));
     text.single("budget_refused_total",
                 "counter",
-                "Further attempts that the budget did not allow.",
-                number(counters.budgetRefused));
+                "Further attempts denied by the retry budget.",
+                toDouble(counters.budgetRefused));
     text.single("budget_lent_total",
                 "counter",
-                "Further attempts of the budget that other gateways were lent.",
-                number(counters.budgetLent));
+                "Further attempts of the retry budget lent to other gateways.",
+                toDouble(counters.budgetLent));
     text.single("budget_borrowed_total",
                 "counter",
-                "Further attempts of the budget that other gateways lent this one.",
-                number(counters.budgetBorrowed));
-    text.single("target_connects_total", "counter", "New connections to targets.", number(counters.connects));
+                "Further attempts of the retry budget borrowed from other gateways.",
+                toDouble(counters.budgetBorrowed));
+    text.single("target_connects_total", "counter", "New connections to targets.", toDouble(counters.connects));
     text.single("foreign_answers_total",
                 "counter",
-                "Answers of targets to some other request, not passed on.",
-                number(counters.mismatchedResponses));
+                "Responses of targets that belong to another request and were not forwarded.",
+                toDouble(counters.mismatchedResponses));
 }
 
 void GatewayProcess::writeServiceMetrics(MetricsText &text) const
 {
     const Instant now = Clock::now();
-    text.family("budget_left", "gauge", "Further attempts that a service has left at the moment.");
+    text.family("budget_left", "gauge", "Further attempts currently left to a service.");
     for (const auto &[name, known] : m_services) {
         text.sample(known->budget.left(now), { { "service", name.value() } });
     }
-    text.family("targets", "gauge", "Targets of a service, by what this process thinks of them.");
+    text.family("targets", "gauge", "Targets of a service, by their state as seen by this process.");
     for (const auto &[name, known] : m_services) {
         const TargetCounts counts = known->balancer.counts();
         text.sample(counts.suspected, { { "service", name.value() }, { "state", "suspected" } });
--- a/src/app/gatewaysettings.cpp
+++ b/src/app/gatewaysettings.cpp
@@ -14,11 +14,11 @@
 
 constexpr const char *ConfigVariable = "MULBERRYPLANK_CONFIG";
 constexpr double MaxSeconds = 3'600;
-constexpr std::uint64_t MaxIngressProxies = 64; // callers take no more addresses
+constexpr std::uint64_t MaxIngressProxies = 64; // callers accept no more addresses
 
 using GatewayRow = SettingRow<GatewaySettings>;
 
-// Reads a number of units, of which so many make a second.
+// Parses a number of units, of which UnitsPerSecond make a second.
 template<Duration GatewaySettings::*Field, int UnitsPerSecond>
 bool storeDurationAt(GatewaySettings &settings, const std::string &value)
 {
@@ -42,7 +42,7 @@
     return settings.*Field || value == "false";
 }
 
-constexpr int InSeconds = 1; // units in a second
+constexpr int InSeconds = 1; // units per second
 constexpr int InMilliseconds = 1'000; // likewise
 constexpr const char *SecondsAllowed = "0.001 to 3600 (seconds)";
 constexpr const char *MillisecondsAllowed = "0.001 to 3600000 (milliseconds)";
@@ -52,13 +52,13 @@
     return {
         { { "vm", "NAME", std::nullopt, NameAllowed, "Name of the VM that this gateway runs on.", {} },
           storeNameAt<&GatewaySettings::vm> },
-        { { "failure-domain", "NAME", std::nullopt, NameAllowed, "Failure domain that this VM stands in.", {} },
+        { { "failure-domain", "NAME", std::nullopt, NameAllowed, "Failure domain of this VM.", {} },
           storeNameAt<&GatewaySettings::failureDomain> },
         { { "listen", "IP:PORT", std::nullopt, EndpointAllowed, "Address for callers' requests (HTTP).", {} },
           storeEndpointAt<&GatewaySettings::caller> },
-        { { "ready", "IP:PORT", std::nullopt, EndpointAllowed, "Address that says whether this process serves.", {} },
+        { { "ready", "IP:PORT", std::nullopt, EndpointAllowed, "Address for readiness checks and metrics.", {} },
           storeEndpointAt<&GatewaySettings::ready> },
-        { { "locate", "IP:PORT", std::nullopt, EndpointAllowed, "Address that tells callers where to connect.", {} },
+        { { "locate", "IP:PORT", std::nullopt, EndpointAllowed, "Address for locate queries of callers.", {} },
           storeEndpointAt<&GatewaySettings::locate> },
         { { "peer", "IP:PORT", std::nullopt, EndpointAllowed, "Address for other gateways (UDP and TCP).", {} },
           storeEndpointAt<&GatewaySettings::peer> },
@@ -70,28 +70,28 @@
 std::vector<GatewayRow> policyRows()
 {
     return {
-        { { "heartbeat-ms", "MS", "1500", MillisecondsAllowed, "Between two heartbeats of a target.", {} },
+        { { "heartbeat-ms", "MS", "1500", MillisecondsAllowed, "Interval between heartbeats of a target.", {} },
           storeDurationAt<&GatewaySettings::heartbeat, InMilliseconds> },
-        { { "grace-s", "S", "6", SecondsAllowed, "From SIGTERM until the process is killed.", {} },
+        { { "grace-s", "S", "6", SecondsAllowed, "Time from SIGTERM until the process is killed.", {} },
           storeDurationAt<&GatewaySettings::grace, InSeconds> },
-        { { "locate-lifetime-s", "S", "2", SecondsAllowed, "How long callers may keep an answer of locate.", {} },
+        { { "locate-lifetime-s", "S", "2", SecondsAllowed, "How long callers may cache a locate response.", {} },
           storeDurationAt<&GatewaySettings::locateLifetime, InSeconds> },
         { { "retry-ratio", "N", "0.2", "0 to 10", "Extra attempts for each request of a service.", {} },
           storeDecimalAt<&GatewaySettings::retryRatio, 10> },
-        { { "retry-window-s", "S", "10", SecondsAllowed, "The window in which extra attempts are counted.", {} },
+        { { "retry-window-s", "S", "10", SecondsAllowed, "Window in which extra attempts are counted.", {} },
           storeDurationAt<&GatewaySettings::retryWindow, InSeconds> },
         { { "retry-slack",
             "N",
             "10",
             "0 to 1000000",
-            "Extra attempts of a service in a window besides, of the whole fleet.",
+            "Fixed extra attempts of a service per window, for the whole fleet.",
             {} },
           storeDecimalAt<&GatewaySettings::retrySlack, 1'000'000> },
         { { "entries-per-domain",
             "N",
             "1",
             "1 to 64",
-            "Gateways that callers of a failure domain are named, at least.",
+            "Minimum number of gateways per failure domain that callers are directed to.",
             {} },
           [](GatewaySettings &settings, const std::string &value) {
               const std::optional<std::uint64_t> number = parseNumber(value, 1, MaxIngressProxies);
@@ -102,12 +102,12 @@
             "true|false",
             "false",
             "true or false",
-            "Whether the whole fleet starts for the first time: then no key is expected in the store.",
+            "Whether the whole fleet starts for the first time, so that the store has no key yet.",
             {} },
           storeFlagAt<&GatewaySettings::firstStart> },
-        { { "cpu-share", "N", "1", "0 to 1024", "Part of a core, or cores, that this process has.", {} },
+        { { "cpu-share", "N", "1", "0 to 1024", "Number of cores available to this process; may be a fraction.", {} },
           storeDecimalAt<&GatewaySettings::cpuShare, 1'024> },
-        { { "log-level", "LEVEL", "info", "debug, info, warning or error", "Least level of events to be logged.", {} },
+        { { "log-level", "LEVEL", "info", "debug, info, warning or error", "Minimum level of logged events.", {} },
           storeLogLevel },
     };
 }
@@ -131,7 +131,7 @@
     return Rows;
 }
 
-// Returns the value of --config, which has to be known before the other settings are read.
+// Returns the value of --config, which is needed before the other settings can be read.
 std::string configFile(int argc, char **argv, const EnvironmentLookup &environment)
 {
     constexpr std::string_view Flag = "--config";
--- a/src/app/gatewaysettingstest.cpp
+++ b/src/app/gatewaysettingstest.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-// A gateway's fixture with everything that must be given.
+// The flags and environment of a gateway, with all required settings.
 class SettingsFixture
 {
 public:
@@ -68,7 +68,7 @@
 
 TEST_GROUP(GatewaySettings) {};
 
-TEST(GatewaySettings, valuesAreTakenFromFileEnvironmentAndFlagsInThatOrder)
+TEST(GatewaySettings, flagsOverrideEnvironmentWhichOverridesTheFile)
 {
     SettingsFixture fixture;
     fixture.flags["config"] = writeFile(
@@ -83,7 +83,7 @@
     DOUBLES_EQUAL(0.3, checked->settings.retryRatio, 1e-9);
 }
 
-TEST(GatewaySettings, everyBadValueIsRefusedWithItsNameAndWhatIsAllowed)
+TEST(GatewaySettings, everyInvalidValueIsReportedWithItsNameAndTheAllowedValues)
 {
     CHECK_EQUAL(gatewayOptions().size() - 1, badGatewayValues().size()); // all but the file
     for (const auto &[name, value] : badGatewayValues()) {
@@ -95,7 +95,7 @@
     }
 }
 
-TEST(GatewaySettings, everythingThatMustBeGivenIsAskedFor)
+TEST(GatewaySettings, everyMissingRequiredSettingIsReported)
 {
     SettingsFixture fixture;
     fixture.variables.clear();
@@ -105,21 +105,21 @@
     }
 }
 
-TEST(GatewaySettings, fileThatCannotBeReadIsNamed)
+TEST(GatewaySettings, unreadableFileIsReportedByName)
 {
     SettingsFixture fixture;
     fixture.flags["config"] = "/nonexistent/gateway.env";
     CHECK_TRUE(fixture.check().error().detail.find("/nonexistent/gateway.env") != std::string::npos);
 }
 
-TEST(GatewaySettings, badLinesOfAFileAreNamedByPlace)
+TEST(GatewaySettings, invalidLinesOfAFileAreReportedByLine)
 {
     CHECK_TRUE(parseSettingsFile("A=1\nB\n", "f").error().detail.find("f, line 2") != std::string::npos);
     CHECK_TRUE(parseSettingsFile("A=1\nA=2\n", "f").error().detail.find("twice") != std::string::npos);
     STRCMP_EQUAL("x=y", parseSettingsFile("A=x=y\r\n", "f")->at("A").c_str());
 }
 
-TEST(GatewaySettings, pageForOperationsListsEverySettingAsItIs)
+TEST(GatewaySettings, operationsPageListsEverySettingWithItsDefault)
 {
     std::ifstream file(MULBERRYPLANK_SOURCE_DIR "/docs/OPERATIONS.md");
     std::stringstream page;
--- a/src/app/linewriter.cpp
+++ b/src/app/linewriter.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-// Hands over what the descriptor takes now.
+// Writes as much of the buffer as the descriptor accepts without blocking.
 void LineWriter::flush()
 {
     while (!m_pending.empty()) {
--- a/src/app/linewritertest.cpp
+++ b/src/app/linewritertest.cpp
@@ -48,7 +48,7 @@
 
 TEST_GROUP(LineWriter) {};
 
-TEST(LineWriter, linesAreWrittenAsTheyCome)
+TEST(LineWriter, linesAreWrittenAtOnce)
 {
     Pipe pipe;
     LineWriter writer(pipe.writeEnd(), {});
@@ -57,8 +57,8 @@
     STRCMP_EQUAL("one\ntwo\n", pipe.read(100).c_str());
 }
 
-// Failure: a process answers nobody, though nothing is wrong with it.
-TEST(LineWriter, readerThatStopsReadingStopsNothing)
+// Guards against a process that stops serving because the reader of its log has stopped reading.
+TEST(LineWriter, unreadOutputDoesNotBlockTheWriter)
 {
     Pipe pipe;
     LineWriter writer(pipe.writeEnd(), { 1'000, 1e9, 1e9, 1e9, 1e9 });
@@ -76,7 +76,7 @@
     CHECK_TRUE(rest.ends_with("last\n"));
 }
 
-TEST(LineWriter, rateHoldsForLinesThatAreNotImportant)
+TEST(LineWriter, routineLinesAreRateLimited)
 {
     Pipe pipe;
     LineWriter writer(pipe.writeEnd(), { 1'000, 10, 2 });
@@ -90,8 +90,8 @@
     CHECK_EQUAL(3, writer.dropped());
 }
 
-// Failure: under a flood of failures the log takes more of the processor than the requests do.
-TEST(LineWriter, importantLinesHaveARateOfTheirOwn)
+// Guards against a log that uses more CPU time than the requests when many of them fail.
+TEST(LineWriter, importantLinesHaveASeparateRateLimit)
 {
     Pipe pipe;
     LineWriterSettings settings { 1'000'000, 10, 2, 5, 3 };
--- a/src/app/loglinetest.cpp
+++ b/src/app/loglinetest.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(LogLine) {};
 
-TEST(LogLine, ReadsTimeLevelNumberNameAndFields)
+TEST(LogLine, ParsesTimeLevelNumberNameAndFields)
 {
     const auto line = parseLogLine("2026-12-02T18:30:55.123Z WARN 501 target-ejected target=pr-3 detail=\"3 of 4\"");
     CHECK(line.has_value());
@@ -23,15 +23,15 @@
     STRCMP_EQUAL("", line->field("service").c_str());
 }
 
-TEST(LogLine, OtherTextIsNoLine)
+TEST(LogLine, RejectsOtherText)
 {
     CHECK_FALSE(parseLogLine("log-lines-dropped count=12").has_value());
     CHECK_FALSE(parseLogLine("").has_value());
     CHECK_FALSE(parseLogLine("2026-12-02T18:30:55.123Z WARN 501 x a=\"open").has_value());
 }
 
-// A value that could be read back as another would tell a wrong story of a request.
-TEST(LogLine, WhatIsWrittenIsReadBack)
+// Guards against values that are parsed differently than they were written, which would falsify a request's trace.
+TEST(LogLine, FormattedFieldsAreParsedUnchanged)
 {
     CHECK(rc::check([](const std::string &value) {
         RC_PRE(value.find("Bearer ") == std::string::npos && value.find("Basic ") == std::string::npos);
--- a/src/app/proxyadmin.cpp
+++ b/src/app/proxyadmin.cpp
@@ -60,8 +60,8 @@
     if (!edit) {
         co_return adminErrorResponse(edit.error());
     }
-    const std::uint64_t wanted = queryNumber(request.query, "wait_ms", internal::DefaultEditWaitMillis);
-    const Millis wait(std::min(wanted, internal::MaxEditWaitMillis));
+    const std::uint64_t requestedWait = queryNumber(request.query, "wait_ms", internal::DefaultEditWaitMillis);
+    const Millis wait(std::min(requestedWait, internal::MaxEditWaitMillis));
     const Result<EditOutcome> outcome =
         co_await m_configSync->submit(*edit, std::max(wait, Millis(internal::DefaultEditWaitMillis)));
     if (!outcome) {
@@ -220,19 +220,19 @@
 std::string ProxyProcess::metrics() const
 {
     const CallerCounters &counters = m_callers.counters;
-    const auto number = [](std::uint64_t value) {
+    const auto toDouble = [](std::uint64_t value) {
         return static_cast<double>(value);
     };
     MetricsText text;
-    text.single("caller_connections", "gauge", "Open connections of callers.", number(counters.connections));
-    text.single("requests_under_way", "gauge", "Requests under way.", number(counters.requests));
-    text.single("answered_total", "counter", "Answers passed on whole.", number(counters.answered));
-    text.single("refused_total", "counter", "Requests answered with an error.", number(counters.refused));
-    text.single("aborted_total", "counter", "Answers broken off.", number(counters.aborted));
-    text.single("retries_total", "counter", "Attempts after a failed one.", number(counters.retries));
-    text.single("hedges_total", "counter", "Attempts beside a slow one.", number(counters.hedges));
-    text.single("resumes_total", "counter", "Downloads continued elsewhere.", number(counters.resumes));
-    text.single("config_applied", "gauge", "Log offset in force.", number(m_config.applied()));
+    text.single("caller_connections", "gauge", "Open connections of callers.", toDouble(counters.connections));
+    text.single("requests_under_way", "gauge", "Requests in progress.", toDouble(counters.requests));
+    text.single("answered_total", "counter", "Responses forwarded completely.", toDouble(counters.answered));
+    text.single("refused_total", "counter", "Requests that got an error response.", toDouble(counters.refused));
+    text.single("aborted_total", "counter", "Responses aborted before their end.", toDouble(counters.aborted));
+    text.single("retries_total", "counter", "Attempts after a failed one.", toDouble(counters.retries));
+    text.single("hedges_total", "counter", "Attempts started in parallel to a slow one.", toDouble(counters.hedges));
+    text.single("resumes_total", "counter", "Downloads resumed at another target.", toDouble(counters.resumes));
+    text.single("config_applied", "gauge", "Log offset in force.", toDouble(m_config.applied()));
     m_metrics.write(text);
     return text.text();
 }
--- a/src/app/proxyconfig.cpp
+++ b/src/app/proxyconfig.cpp
@@ -42,7 +42,8 @@
     m_configSync->attach(*m_peers);
 }
 
-// For a fleet that was restarted as a whole while the log is away: only an operator can say that this is the table.
+// Loads the last known table. Needed if the whole fleet restarts while the log is unavailable; only an operator can
+// decide that the file holds the current table.
 void ProxyProcess::loadLastKnown()
 {
     if (m_settings.lastKnownFile.empty()) {
@@ -87,8 +88,8 @@
         m_events);
 }
 
-// Evidence and shares are exchanged with the other proxies, also while a service that has moved away is still served;
-// its targets are probed by the proxies alone.
+// Evidence and shares are exchanged with the other assigned proxies, also while a reassigned service is still served
+// here. The service's targets are probed only by its assigned proxies.
 void ProxyProcess::setAssignedPeers(const ServiceName &service,
                                     const std::vector<AssignedPeer> &proxies,
                                     bool assignedHere,
@@ -117,16 +118,17 @@
     return settings;
 }
 
-// Until a process has hasOtherMembers another member it would take itself for the only one that carries a service, and
-// use the whole of every limit beside those that do so already. With seeds given it waits for one of them, but not for
-// ever: it may really be the first.
+// Returns true once the process knows another member, has no seeds, or has waited long enough. A process that knows no
+// other member would consider itself the only proxy assigned to each service, and would use every limit in full
+// although other proxies already use it. With seeds given it waits for one of them, but not forever: it may be the
+// first process.
 bool ProxyProcess::hasJoinedFleet() const
 {
     const bool hasOtherMembers = m_members->snapshot()->size() > 1;
     return hasOtherMembers || m_settings.seeds.empty() || Clock::now() - m_started > internal::FirstMemberWait;
 }
 
-// Called with each tick: what ConfigSync and the members have brought since the last one is given to the services.
+// Applies changes of the configuration and of the members since the last tick to the services. Called with each tick.
 void ProxyProcess::applyConfiguration()
 {
     const Offset applied = m_config.applied();
@@ -170,7 +172,7 @@
     if (!m_callers.ready) {
         return failure(ErrorKind::NotReady, "this process has no configuration yet");
     }
-    // Not by way of the service's view: that would be kept for every service that anybody asks for here.
+    // Doesn't use the service's view, because a view would then be kept for every service that is queried here.
     bool known = false;
     m_config.read([&](const ConfigTable &table) {
         known = table.row(account, service).has_value();
--- a/src/app/proxydrain.cpp
+++ b/src/app/proxydrain.cpp
@@ -21,7 +21,7 @@
 void ProxyProcess::startDrain()
 {
     if (m_draining) {
-        // The second signal: whoever sent it doesn't want to wait any longer.
+        // A second signal or drain request ends the process without waiting for requests in progress.
         const std::uint64_t aborted = m_callers.counters.requests;
         m_events(Event::DrainFinished,
                  { { "vm", m_settings.vm.value() }, { "in_flight", aborted }, { "cut", aborted } });
@@ -37,8 +37,8 @@
     asio::co_spawn(m_control, drain(), asio::detached);
 }
 
-// Callers keep an answer of locate for its lifetime and connect here on its strength, so the process goes on as before
-// for that long; only then does it stop accepting and let its connections end.
+// Callers cache a locate response for its lifetime and may connect here until it expires. The process therefore
+// continues to serve for that time. Only then does it stop accepting connections and wait for the open ones to end.
 asio::awaitable<void> ProxyProcess::drain()
 {
     const Instant deadline = Clock::now() + m_settings.drainLimit;
--- a/src/app/proxyprocess.cpp
+++ b/src/app/proxyprocess.cpp
@@ -22,17 +22,18 @@
 constexpr Duration LogTimeout = Seconds(2);
 constexpr Duration VmListTimeout = Seconds(2);
 constexpr Duration VmListInterval = Seconds(1);
-constexpr std::size_t VmListReaders = 32; // that read the list each second, over the whole fleet
+constexpr std::size_t VmListReaders = 32; // reads of the list per second, over the whole fleet
 
-// The list is asked equally often whatever the size of the fleet; a larger one learns of leaving VMs from the VMs
-// themselves first.
+// Returns the interval at which each process reads the VM list, so that the rate of reads doesn't grow with the fleet.
+// The processes of a larger fleet learn of leaving VMs from these VMs first.
 Duration vmListInterval(std::size_t members)
 {
     const std::size_t intervals = std::max<std::size_t>(1, (members + VmListReaders - 1) / VmListReaders);
     return intervals * VmListInterval;
 }
 
-// A restarted process must never be taken for the one before it, so this comes from the system's randomness.
+// Returns an incarnation from the system's random numbers, because a restarted process must never be mistaken for the
+// process before it.
 Incarnation randomIncarnation()
 {
     std::random_device device;
--- a/src/app/proxyprocess.h
+++ b/src/app/proxyprocess.h
@@ -29,14 +29,14 @@
 namespace mulberryplank
 {
 
-// The keys of a proxy's key files.
+// The keys read from a proxy's key files.
 struct ProxyKeys {
     std::vector<std::string> operators;
-    std::vector<std::string> fleet; // the first signs, all verify
+    std::vector<std::string> fleet; // the first key signs; each key can verify
 };
 
-// Wires one proxy together. Workers carry callers' requests; one control thread, which is the one that calls run(),
-// does everything else: operators, the log, peers, ticks, signals.
+// Assembles a proxy. Worker threads serve callers' requests. One control thread, the one that calls run(), does
+// everything else: operators, the log, peers, ticks, signals.
 class ProxyProcess
 {
 public:
@@ -58,7 +58,7 @@
     boost::asio::awaitable<void> pollVmList();
     void awaitSignal();
 
-    // proxyconfig.cpp: the configuration and what follows from it
+    // proxyconfig.cpp: the configuration and what depends on it
     void setUpConfiguration(std::vector<std::string> fleetKeys);
     void loadLastKnown();
     bool hasJoinedFleet() const;
@@ -74,7 +74,7 @@
     std::vector<Member> members() const;
     Member self() const;
 
-    // proxyadmin.cpp: what operators ask
+    // proxyadmin.cpp: requests of operators
     boost::asio::awaitable<AdminResponse> handleOperatorRequest(AdminRequest request);
     boost::asio::awaitable<AdminResponse> handleEdit(AdminRequest request);
     std::optional<AdminResponse> handleQuery(const AdminRequest &request) const;
--- a/src/app/requesttrace.cpp
+++ b/src/app/requesttrace.cpp
@@ -23,7 +23,7 @@
     return value;
 }
 
-// "3 services" and "1 service".
+// Returns "3 services" or "1 service".
 std::string withCount(const std::string &count, const std::string &noun)
 {
     return count + " " + noun + (count == "1" ? "" : "s");
@@ -56,7 +56,7 @@
     return text.str();
 }
 
-// What a target did, as the attempt's result and what was seen before it tell.
+// Returns how the attempt failed, based on its result and on the progress before the failure.
 std::string attemptCause(const LogLine &line)
 {
     const std::string result = line.field("result");
@@ -125,7 +125,7 @@
     return text;
 }
 
-// Why there was no further attempt after the last one failed.
+// Returns why there was no further attempt after the last failed one.
 std::string noRetryReason(const LogLine &failed, const LogLine *ended)
 {
     const bool sent = failed.field("sent") == "1" && failed.field("result") != "shed";
@@ -141,7 +141,7 @@
     return "no further attempt was allowed by its route, or no other target took work";
 }
 
-// What a refusal without any attempt means.
+// Returns the reason for a rejection without any attempt.
 std::string refusalCause(const LogLine &line)
 {
     const std::optional<ErrorKind> kind = errorKindFromString(line.field("kind"));
@@ -236,7 +236,7 @@
     return steps;
 }
 
-// A request leaves no line when its first attempt was responded, when its gateway was killed, or when lines were
+// Returns the text for a request without log lines: its first attempt succeeded, its gateway was killed, or lines were
 // dropped.
 std::string RequestTrace::notFoundText() const
 {
--- a/src/app/requesttracetest.cpp
+++ b/src/app/requesttracetest.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Returns a line as a gateway writes it, `second` seconds after noon.
+// Returns a log line of a gateway, `second` seconds after noon.
 std::string lineAt(int second, Event event, std::initializer_list<EventField> fields)
 {
     const std::string seconds = (second < 10 ? "0" : "") + std::to_string(second);
@@ -77,7 +77,7 @@
     }
 };
 
-TEST(RequestTrace, ARequestThatRunsOnceIsNotSentAgain)
+TEST(RequestTrace, ExplainsThatANonIdempotentRequestWasNotRetried)
 {
     trace.read("a.log", processStarted(1, "vm-1"));
     trace.read("a.log", failedAttempt(10, "r-1", "t-1", "reset", 1));
@@ -86,28 +86,28 @@
         "cause: t-1 broke the connection after the request was sent; it may run only once and could have run");
 }
 
-TEST(RequestTrace, AnEmptyBudgetIsNamed)
+TEST(RequestTrace, ExplainsThatTheRetryBudgetWasExhausted)
 {
     trace.read("a.log", failedAttempt(10, "r-1", "t-1", "reset", 1, 0.2));
     trace.read("a.log", requestEnded(10, "r-1", "idempotent", "unknown", "target-reset", "t-1"));
     checkContains("the budget for further attempts was used up");
 }
 
-TEST(RequestTrace, ATimeoutIsNamed)
+TEST(RequestTrace, ExplainsATimeout)
 {
     trace.read("a.log", failedAttempt(10, "r-1", "t-1", "timeout", 1, 5, -3));
     trace.read("a.log", requestEnded(10, "r-1", "idempotent", "unknown", "target-timeout", "t-1"));
     checkContains("cause: t-1 gave no answer in time; its time was up");
 }
 
-TEST(RequestTrace, ARefusalWithoutAnAttemptIsNamed)
+TEST(RequestTrace, ExplainsARejectionWithoutAnAttempt)
 {
     trace.read("a.log",
                lineAt(10, Event::RequestRefused, { { "request", "r-1" }, { "config", 7 }, { "kind", "not-found" } }));
     checkContains("cause: configuration 7 has no route for its host and path");
 }
 
-TEST(RequestTrace, TellsWhatTheGatewayWentByAtThatTime)
+TEST(RequestTrace, ShowsTheGatewaysStateAtTheTimeOfTheRequest)
 {
     trace.read("a.log", lineAt(1, Event::RoutesInForce, { { "version", 3 } }));
     trace.read("a.log",
@@ -120,8 +120,8 @@
     CHECK(trace.text().find("configuration 4") == std::string::npos);
 }
 
-// A caller that asks again may come to another gateway.
-TEST(RequestTrace, GoesOverGatewaysInOrderOfTime)
+// A caller that retries may reach another gateway.
+TEST(RequestTrace, OrdersTheLinesOfAllGatewaysByTime)
 {
     trace.read("b.log", processStarted(1, "vm-2"));
     trace.read("b.log", failedAttempt(20, "r-1", "t-2", "shed", 1));
@@ -132,7 +132,7 @@
     checkContains("refused it for load, and did not run it");
 }
 
-TEST(RequestTrace, TellsHowTheTargetDidOtherwise)
+TEST(RequestTrace, ShowsOtherFailuresAndSuspicionsOfTheTarget)
 {
     trace.read("a.log", processStarted(1, "vm-1"));
     trace.read("b.log", processStarted(1, "vm-2"));
@@ -143,21 +143,21 @@
         "target t-1: 2 failed attempts in these logs, at 2 gateways; suspected since 2026-12-02T12:00:06.000Z");
 }
 
-TEST(RequestTrace, AnAnswerInTheEndIsNoFailure)
+TEST(RequestTrace, ReportsNoCauseWhenARetrySucceeded)
 {
     trace.read("a.log", failedAttempt(10, "r-1", "t-1", "reset", 1));
     trace.read("a.log", requestEnded(11, "r-1", "idempotent", "answered", "", "t-2"));
     checkContains("cause: none; t-2 answered in the end");
 }
 
-TEST(RequestTrace, ATargetsOwnErrorIsToldAsSuch)
+TEST(RequestTrace, DistinguishesATargetsOwnError)
 {
     trace.read("a.log", failedAttempt(10, "r-1", "t-1", "server-error", 1));
     trace.read("a.log", requestEnded(11, "r-1", "once", "answered", "target-error", "t-1"));
     checkContains("cause: t-1 answered with an error of its own");
 }
 
-TEST(RequestTrace, TellsWhereLinesMayBeMissing)
+TEST(RequestTrace, ReportsWhereLinesMayBeMissing)
 {
     trace.read("a.log", processStarted(1, "vm-1"));
     trace.read("a.log", processStarted(9, "vm-1"));
@@ -190,12 +190,12 @@
     STRCMP_CONTAINS("cause: t-1 broke", user.run({ "explain", "r-1" }).out.c_str());
 }
 
-TEST(ExplainCommand, ARequestThatNoLineTellsOfEndsWithOne)
+TEST(ExplainCommand, ExitsWith1WhenNoLineIsAboutTheRequest)
 {
     CHECK(user.run({ "explain", "r-1" }).code == ExitCode::Refused);
 }
 
-TEST(ExplainCommand, AFileThatCantBeReadIsNamed)
+TEST(ExplainCommand, ReportsAnUnreadableFileByName)
 {
     const auto run = user.run({ "explain", "r-1", "/nowhere.log" });
     CHECK(run.code == ExitCode::Usage);
