--- a/include/mulberryplank/app/requesttrace.h
+++ b/include/mulberryplank/app/requesttrace.h
@@ -13,7 +13,7 @@
 namespace mulberryplank
 {
 
-// What a gateway went by at some moment, as its log tells: the latest line of each kind.
+// The state that a gateway used at some moment, according to its log: the latest line of each kind.
 struct LoggedState {
     std::optional<LogLine> routes; // routes-in-force
     std::optional<LogLine> targetList; // target-list-changed
@@ -21,38 +21,38 @@
     std::map<std::string, LogLine> suspicions; // target-suspected or target-returned, by target
 };
 
-// Gathers what the logs of several gateways tell of one request, and tells it in order of time. Reads line by line and
-// keeps only what it needs, so logs may be of any size. Clocks of VMs may differ: between gateways the order is only as
-// good as they are.
+// Collects the log lines of several gateways about one request and prints them in chronological order. Reads line by
+// line and keeps only relevant lines, so logs can be of any size. The clocks of VMs may differ, so the order of lines
+// of different gateways is only as accurate as these clocks. Thread-compatible.
 class RequestTrace
 {
 public:
     explicit RequestTrace(std::string request);
 
-    // Takes in the next line of the log `source`, without its line break. Lines of one source come in order.
+    // Reads the next line of the log `source`, without its line break. Lines of one source must be passed in order.
     void read(const std::string &source, std::string_view text);
 
-    // Returns true if any line told of the request.
+    // Returns true if any line is about the request.
     bool found() const;
 
-    // Returns the story, with its cause, for people.
+    // Returns the human-readable trace, with the cause of a failure.
     std::string text() const;
 
 private:
-    // What has been read of one log.
+    // State read from one log.
     struct Source {
-        std::string gateway; // the VM's name; before the log has told it, the source's
+        std::string gateway; // the VM's name, or the source's until the log names the VM
         LoggedState state;
         std::uint64_t linesDropped = 0;
-        bool running = false; // started, and not ended since
-        std::vector<std::string> uncleanRestarts; // times of starts after a process that didn't end by itself
+        bool running = false; // started and not stopped since
+        std::vector<std::string> uncleanRestarts; // times of starts without a preceding clean stop
     };
     struct Step {
         std::string gateway;
         LogLine line;
         LoggedState state;
     };
-    // Failed attempts at a target, of any request.
+    // Failed attempts of all requests at one target.
     struct TargetFailures {
         std::uint64_t count = 0;
         std::set<std::string> gateways;
--- a/src/app/assignedservices.cpp
+++ b/src/app/assignedservices.cpp
@@ -10,7 +10,7 @@
 namespace internal
 {
 
-// A service that has moved away is served for as long as callers may still come on the strength of an old answer.
+// A reassigned service is served while callers may still use a cached locate response: for this many lifetimes of one.
 constexpr int ReleaseAfterLifetimes = 2;
 
 std::vector<AssignedPeer> assignedPeers(const std::vector<Member> &members)
@@ -92,7 +92,7 @@
     m_applied = applied;
 }
 
-// Returns the services that are configured and those that were.
+// Returns the names of all services that are or were configured.
 std::vector<ServiceName> AssignedServices::allServices() const
 {
     const std::vector<ServiceName> known = m_index.services();
@@ -105,8 +105,8 @@
     return { names.begin(), names.end() };
 }
 
-// Takes over a service that may have changed: its size decides who carries it, the rest matters only where it is
-// served.
+// Applies a change of a service's configuration. The service's size determines its placement; the other fields matter
+// only to the proxies that serve it.
 void AssignedServices::updateService(const ServiceName &name, Instant now)
 {
     std::optional<ServiceSize> size;
@@ -164,8 +164,8 @@
     m_onAssignment(name, served.proxies, assignedHere, now);
 }
 
-// Gives the service's configuration to its state, which is made if there is none. Returns false if the service has been
-// removed meanwhile: the next update() will tell.
+// Applies the service's configuration to its state, which is created if it doesn't exist. Returns false if the service
+// was removed concurrently; the next update() handles the removal.
 bool AssignedServices::startServing(const ServiceName &name, Instant now)
 {
     const ServiceViewPtr view = m_config.service(name);
--- a/src/app/assignedservices.h
+++ b/src/app/assignedservices.h
@@ -15,17 +15,18 @@
 namespace mulberryplank
 {
 
-// Keeps this process's set of services in step with the configuration and the members of the fleet: takes up services
-// that placement gives it, and lets go of those that it takes away once callers' old answers have run out. Only
-// services that are served here get a view of the configuration. Its commands run on the control thread.
+// Updates this process's set of services when the configuration or the members of the fleet change. Starts serving a
+// service when placement assigns it to this process. Stops serving a service that is reassigned to other proxies after
+// the callers' cached locate responses have expired. Only services that are served here get a view of the
+// configuration. Must be used on the control thread, except for assignedProxiesOf().
 class AssignedServices
 {
 public:
     using Members = std::vector<Member>;
 
-    // Told of each service served here, after it is in the registry: who carries it, this process among them when
-    // `assignedHere`. A service that has moved away is still served with `assignedHere` false. No proxies: it isn't
-    // served any more.
+    // Called with the assigned proxies of each service served here, after the service was added to the registry.
+    // `assignedHere` is true if this process is one of them; a reassigned service is still served for a while with
+    // `assignedHere` false. `proxies` is empty once the service is no longer served.
     using AssignmentHook = std::function<void(
         const ServiceName &service, const std::vector<AssignedPeer> &proxies, bool assignedHere, Instant now)>;
 
@@ -38,18 +39,18 @@
     AssignedServices(const AssignedServices &) = delete;
     AssignedServices &operator=(const AssignedServices &) = delete;
 
-    // Brings everything up to date. Costs next to nothing when the members are the list of the last call and the
-    // configuration hasn't changed.
+    // Applies changes of the members and of the configuration. Cheap if `members` is the same list as in the last call
+    // and the configuration hasn't changed.
     void update(const std::shared_ptr<const Members> &members, Offset applied, Instant now);
 
-    // Returns the configuration's offset that the services have been given.
+    // Returns the offset of the configuration that was last applied to the services.
     Offset applied() const;
 
-    // Returns the number of services carried here.
+    // Returns the number of services that are assigned to this process.
     std::size_t count() const;
 
-    // Returns the members that carry the service as of the last update(), the strongest claim first; none for a service
-    // that isn't configured. From any thread.
+    // Returns the assigned proxies of the service as of the last update(), the highest placement rank first. Empty if
+    // the service isn't configured. Thread-safe.
     Members assignedProxiesOf(const ServiceName &name) const;
 
 private:
@@ -57,7 +58,7 @@
     struct Served {
         std::vector<AssignedPeer> proxies;
         bool assignedHere = false;
-        std::optional<Instant> releaseAt; // no longer placed here, still served until then
+        std::optional<Instant> releaseAt; // end of serving, if the service was reassigned
     };
 
     void updateMembers(const Members &members, Instant now);
@@ -75,7 +76,7 @@
     Member m_self;
     PlacementSettings m_settings;
     EventSink m_events;
-    mutable std::shared_mutex m_indexMutex; // guards the index alone
+    mutable std::shared_mutex m_indexMutex; // guards only m_index
     PlacementIndex m_index;
     std::map<ServiceName, Served> m_served;
     std::shared_ptr<const Members> m_members; // as of the last update
--- a/src/app/assignedservicestest.cpp
+++ b/src/app/assignedservicestest.cpp
@@ -24,7 +24,7 @@
     return member;
 }
 
-// What the hook was told last of a service, and how often.
+// The arguments of the hook's last call for a service, and the number of calls.
 struct HookCalls {
     std::size_t assignedProxies = 0;
     bool assignedHere = false;
@@ -33,7 +33,7 @@
 
 } // namespace
 
-// This process is `self`; with one carrier a service, either it or the other member carries each.
+// This process is `self`. With one assigned proxy per service, each service is assigned to `self` or to `other`.
 TEST_GROUP(AssignedServices)
 {
     const Member m_self = memberNamed("self", 1);
@@ -84,7 +84,7 @@
         return m_registry.find(name).has_value();
     }
 
-    // With both members there the other one carries it.
+    // Returns a service that is assigned to the other member when both are alive.
     ServiceName nameThatMovesAway() const
     {
         for (int number = 0;; ++number) {
@@ -96,8 +96,8 @@
     }
 };
 
-// Failure: requests fail for some seconds after every change of members.
-TEST(AssignedServices, serviceThatMovesAwayIsServedUntilOldAnswersHaveRunOut)
+// Guards against requests that fail for some seconds after every change of members.
+TEST(AssignedServices, reassignedServiceIsServedUntilCachedResponsesExpire)
 {
     const ServiceName name = nameThatMovesAway();
     edit({ { service(name.value()), false } });
@@ -117,8 +117,8 @@
     LONGS_EQUAL(0, m_config.viewCount());
 }
 
-// Failure: a member flaps, and requests that wait here are refused.
-TEST(AssignedServices, serviceThatComesBackInTimeIsNotInterrupted)
+// Guards against rejecting queued requests here when a member flaps.
+TEST(AssignedServices, serviceAssignedAgainBeforeReleaseIsNotInterrupted)
 {
     const ServiceName name = nameThatMovesAway();
     edit({ { service(name.value()), false } });
@@ -134,7 +134,7 @@
     CHECK_TRUE(m_hookCalls[name].assignedHere);
 }
 
-TEST(AssignedServices, editReachesCarriedServicesAndNoOthers)
+TEST(AssignedServices, editIsAppliedOnlyToAssignedServices)
 {
     const ServiceName elsewhere = nameThatMovesAway();
     std::string assignedHere = "m0";
@@ -155,7 +155,7 @@
     LONGS_EQUAL(2, m_assignedServices.applied());
 }
 
-TEST(AssignedServices, removedServiceIsLetGoAtOnce)
+TEST(AssignedServices, removedServiceIsReleasedAtOnce)
 {
     edit({ { service("pressdesk"), false } });
     update({ m_self });
@@ -166,58 +166,60 @@
     LONGS_EQUAL(0, m_hookCalls[m_name].assignedProxies);
 }
 
-// Failure: a proxy goes on with an old table for some services, or serves one that others carry.
-TEST(AssignedServices, servesWhatPlacementGivesItAfterAnyEditsSnapshotsAndMembers)
+// Guards against a proxy that keeps an old table for some services, or serves a service assigned to other proxies.
+TEST(AssignedServices, servesAssignedServicesAfterAnyEditsSnapshotsAndMemberChanges)
 {
-    CHECK_TRUE(rc::check("served is placed here or being let go, with the newest configuration", [this] {
-        ConfigState config;
-        ServiceRegistry registry;
-        AssignedServices assignedServices(
-            registry,
-            config,
-            [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {},
-            m_self,
-            m_settings,
-            [](Event, std::initializer_list<EventField>) {});
-        const auto edits = generateLog();
-        std::size_t next = 0;
-        while (next < edits.size()) {
-            const auto count = *rc::gen::inRange<std::size_t>(1, 6);
-            ConfigState peer;
-            const std::size_t end = std::min(edits.size(), next + count);
-            const std::vector<std::string> records(edits.begin(), edits.begin() + static_cast<std::ptrdiff_t>(end));
-            RC_ASSERT(peer.applyUpdate({ 0, {}, records }).has_value());
-            if (*rc::gen::arbitrary<bool>()) {
-                RC_ASSERT(config.applyUpdate({ 0, {}, records }).has_value());
-            } else {
-                peer.read([&config](const ConfigTable &table) {
-                    RC_ASSERT(config.load(ConfigTable::fromSnapshot(table.snapshot()).value()).has_value());
+    CHECK_TRUE(
+        rc::check("each served service is assigned here or being released, and has the newest configuration", [this] {
+            ConfigState config;
+            ServiceRegistry registry;
+            AssignedServices assignedServices(
+                registry,
+                config,
+                [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {},
+                m_self,
+                m_settings,
+                [](Event, std::initializer_list<EventField>) {});
+            const auto edits = generateLog();
+            std::size_t next = 0;
+            while (next < edits.size()) {
+                const auto count = *rc::gen::inRange<std::size_t>(1, 6);
+                ConfigState peer;
+                const std::size_t end = std::min(edits.size(), next + count);
+                const std::vector<std::string> records(edits.begin(), edits.begin() + static_cast<std::ptrdiff_t>(end));
+                RC_ASSERT(peer.applyUpdate({ 0, {}, records }).has_value());
+                if (*rc::gen::arbitrary<bool>()) {
+                    RC_ASSERT(config.applyUpdate({ 0, {}, records }).has_value());
+                } else {
+                    peer.read([&config](const ConfigTable &table) {
+                        RC_ASSERT(config.load(ConfigTable::fromSnapshot(table.snapshot()).value()).has_value());
+                    });
+                }
+                next = end;
+                const std::vector<Member> members =
+                    *rc::gen::arbitrary<bool>() ? std::vector { m_self, m_other } : std::vector { m_self };
+                assignedServices.update(
+                    std::make_shared<const std::vector<Member>>(members), config.applied(), Instant {});
+                std::size_t assignedHere = 0;
+                config.read([&](const ConfigTable &table) {
+                    for (const Service *item : table.services()) {
+                        const ServiceSize size { table.targetsOf(item->name).size(), 0 };
+                        const auto assigned = assignedProxies(item->name, members, m_settings, size);
+                        const bool here = std::count(assigned.begin(), assigned.end(), m_self) > 0;
+                        assignedHere += here ? 1 : 0;
+                        const auto served = registry.find(item->name);
+                        RC_ASSERT(served || !here);
+                        if (served) {
+                            RC_ASSERT(served->config->service == *item);
+                            RC_ASSERT(served->config->targets.size() == size.targets);
+                            RC_ASSERT(served->config->rows.size() == table.rowsOf(item->name).size());
+                        }
+                    }
+                    for (const ServedService &served : registry.all()) {
+                        RC_ASSERT(table.service(served.config->service.name) != nullptr);
+                    }
                 });
+                RC_ASSERT(assignedServices.count() == assignedHere);
             }
-            next = end;
-            const std::vector<Member> members =
-                *rc::gen::arbitrary<bool>() ? std::vector { m_self, m_other } : std::vector { m_self };
-            assignedServices.update(std::make_shared<const std::vector<Member>>(members), config.applied(), Instant {});
-            std::size_t assignedHere = 0;
-            config.read([&](const ConfigTable &table) {
-                for (const Service *item : table.services()) {
-                    const ServiceSize size { table.targetsOf(item->name).size(), 0 };
-                    const auto assigned = assignedProxies(item->name, members, m_settings, size);
-                    const bool here = std::count(assigned.begin(), assigned.end(), m_self) > 0;
-                    assignedHere += here ? 1 : 0;
-                    const auto served = registry.find(item->name);
-                    RC_ASSERT(served || !here);
-                    if (served) {
-                        RC_ASSERT(served->config->service == *item);
-                        RC_ASSERT(served->config->targets.size() == size.targets);
-                        RC_ASSERT(served->config->rows.size() == table.rowsOf(item->name).size());
-                    }
-                }
-                for (const ServedService &served : registry.all()) {
-                    RC_ASSERT(table.service(served.config->service.name) != nullptr);
-                }
-            });
-            RC_ASSERT(assignedServices.count() == assignedHere);
-        }
-    }));
+        }));
 }
--- a/src/app/commandexplain.cpp
+++ b/src/app/commandexplain.cpp
@@ -48,7 +48,7 @@
 
 std::vector<CommandInfo> logCommands()
 {
-    constexpr std::size_t MaxLogs = 10'000; // more gateways than a fleet has
+    constexpr std::size_t MaxLogs = 10'000; // more than a fleet has gateways
     return { { "explain",
                "",
                "REQUEST [LOG...]",
--- a/src/app/eventlog.cpp
+++ b/src/app/eventlog.cpp
@@ -121,7 +121,7 @@
 
 } // namespace internal
 
-// Writes log4cxx's lines to a descriptor without waiting for its reader.
+// Writes log4cxx's lines to a descriptor without blocking.
 class LineAppender : public log4cxx::AppenderSkeleton
 {
 public:
@@ -162,7 +162,7 @@
     std::vector<std::string> secrets;
     log4cxx::LoggerPtr logger;
     log4cxx::AppenderPtr appender;
-    std::shared_ptr<LineAppender> lines; // the appender, where it may drop lines
+    std::shared_ptr<LineAppender> lines; // the appender, if it can drop lines
 };
 
 EventLog::EventLog(const EventLogSettings &settings)
--- a/src/app/fakefleet.h
+++ b/src/app/fakefleet.h
@@ -10,17 +10,17 @@
 #include "mulberryplank/app/command.h"
 #include "mulberryplank/policy/tablecsv.h"
 
-// What the tests of the commands share.
+// Helpers shared by the tests of the commands.
 namespace mulberryplank::testfleet
 {
 
-// A fleet of one proxy over a log that takes effect at once, with faults to be switched on.
+// A fleet with one proxy whose edits take effect at once, with injectable faults.
 class FakeFleet
 {
 public:
     ConfigTable table;
-    std::vector<std::string> missing; // VMs that never get an edit
-    int responsesToLose = 0; // of edits, after they took effect
+    std::vector<std::string> missing; // VMs that never receive an edit
+    int responsesToLose = 0; // number of responses to edits that are lost after the edit took effect
     bool unreachable = false;
     std::size_t editsSent = 0;
     std::set<std::string> editIds;
@@ -111,14 +111,14 @@
     }
 };
 
-// What one run of the program left behind.
+// The result of one run of the program.
 struct Run {
     ExitCode code;
     std::string out;
     std::string err;
 };
 
-// The program's surroundings, with an operator's key and a folder for files.
+// Runs the program as an operator, with an operator's key and a folder for files.
 class Operator
 {
 public:
@@ -172,7 +172,7 @@
         return { code, out.str(), err.str() };
     }
 
-    std::string input; // what a command reads from standard input
+    std::string input; // content of standard input
 
 private:
     FakeFleet &m_fleet;
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -1,4 +1,4 @@
-// What gateways that know each other tell and ask.
+// Communication of a gateway with the other members of the fleet.
 #include "gatewayprocess.h"
 
 #include "mulberryplank/net/clock.h"
@@ -18,18 +18,21 @@
 namespace
 {
 
-// For the reader to say what it has; then others and the store are asked. A piece of a configuration takes 50 ms on the
-// slowest VMs' links when they are idle.
+// Timeout for the designated reader to begin its response; after it, other gateways and the store are queried. A piece
+// of a configuration takes 50 ms on the slowest VMs' links when these are idle.
 constexpr Duration ReaderTimeout = Millis(400);
-// For any other to begin with a piece of a configuration, which may be as slow itself.
+// Timeout for another gateway to begin its response with a piece of a configuration. Its link may be as slow.
 constexpr Duration PeerTimeout = Millis(500);
-// For any other to begin with a list of targets, which has to be known within two seconds whoever fails.
+// Timeout for another gateway to begin its response with a list of targets. The list has to be known within two
+// seconds, whichever process fails.
 constexpr Duration ListTimeout = Millis(400);
-// For the rest of an response that has begun: a list of 58,000 targets takes 0.7 s on the slowest VMs' links alone.
+// Timeout for the rest of a response. The transfer of a list of 58,000 targets alone takes 0.7 s on the slowest VMs'
+// links.
 constexpr Duration UpdateBodyTimeout = Seconds(3);
-// Of each failure domain: a store that silences a single one is noticed only after seconds.
+// Gateways of each failure domain that read the configuration. With a single one, a store that stops responding to it
+// would be noticed only after seconds.
 constexpr std::size_t ConfigurationReaders = 2;
-// A report is 15 bytes long, a datagram's payload 1,000 bytes and more.
+// A report takes 15 bytes; a datagram's payload can be 1,000 bytes and more.
 constexpr std::size_t ReportsPerDatagram = 60;
 
 } // namespace
@@ -59,8 +62,8 @@
     return *m_members->snapshot();
 }
 
-// Takes over what the members have brought. Called with each tick, and before a caller is told where to connect if they
-// have changed since.
+// Applies the current list of members. Called with each tick, and before a locate response if the list has changed
+// since the last call.
 void GatewayProcess::applyMembers()
 {
     m_appliedMembers = m_members ? m_members->snapshot() : nullptr;
@@ -75,7 +78,8 @@
     m_ingressMembers = ingressMembers(all, ingressSettings);
     m_designatedReader = designatedReader(all, m_settings.failureDomain);
     m_readsConfiguration = isAmongTopRanked(all, m_incarnation, internal::ConfigurationReaders);
-    // The budget's fixed part goes to the gateways that have the requests; the others have what theirs earn.
+    // The fixed retry allowance goes to the ingress gateways, which receive the requests. The other gateways have only
+    // the budget that their own requests add.
     const Instant now = Clock::now();
     m_retryAllowanceShare.update(m_ingressMembers.size(), isIngress(), now);
     const double fixedAllowance = m_retryAllowanceShare.fixedAllowance(now);
@@ -96,7 +100,7 @@
     return m_peers && m_designatedReader && m_designatedReader->incarnation != m_incarnation;
 }
 
-// Happens while gateways of two versions run beside each other.
+// Happens while gateways of two versions run at the same time.
 void GatewayProcess::notePeerUnreadable(const PeerSender &sender, const Error &error)
 {
     m_events(Event::PeerRefused,
@@ -130,7 +134,7 @@
                                                        reports.begin() + static_cast<std::ptrdiff_t>(end)));
         for (const Member &member : m_ingressMembers) {
             if (member.incarnation != m_incarnation) {
-                // What can't be sent counts as lost: the other gateway finds out for itself.
+                // A failed send counts as a lost datagram: the other gateway makes its own observations.
                 static_cast<void>(m_peers->send(member.peer, PeerKind::AttemptReports, payload));
             }
         }
@@ -153,8 +157,8 @@
     });
 }
 
-// Callers that fail come in bursts to one member, while the others' shares lie idle: a third of the fleet's budget was
-// used while requests died for want of it.
+// Failing requests arrive in bursts at one ingress gateway while the shares of the others are unused. Without loans,
+// requests failed for lack of budget while only a third of the fleet's budget was used.
 void GatewayProcess::requestBudget(const ServiceName &name)
 {
     std::vector<Member> others = m_ingressMembers;
@@ -169,7 +173,7 @@
         return;
     }
     const Member &lender = others[std::uniform_int_distribution<std::size_t>(0, others.size() - 1)(m_random)];
-    // What is lost is asked for again by the next request that lacks it.
+    // A lost message isn't resent: the next request that lacks budget sends another one.
     static_cast<void>(
         m_peers->send(lender.peer, PeerKind::BudgetRequest, encode(BudgetMessage { name, *requestNumber })));
 }
@@ -180,7 +184,7 @@
     const bool lent = found != m_services.end() && found->second->budget.tryLend(Clock::now(), internal::LenderReserve);
     if (lent) {
         ++m_gateway.forward.counters.budgetLent;
-        // A loan that is lost stays counted here: the fleet then has a little less than it may use.
+        // A loan that is lost in transit stays deducted here, so the fleet has slightly less than its budget.
         static_cast<void>(m_peers->send(sender.from, PeerKind::BudgetLoan, encode(message)));
     }
 }
@@ -198,7 +202,7 @@
     }
 }
 
-// Successes can wait: they say where requests that run only once are safe for the next seconds.
+// Successes aren't urgent: they show which targets are safe for non-idempotent requests in the next seconds.
 void GatewayProcess::shareSuccesses()
 {
     const Instant now = Clock::now();
@@ -215,7 +219,7 @@
     }
 }
 
-// Tells the gateways of this failure domain, which have their lists from here.
+// Announces an update to the gateways of this failure domain if this process is their designated reader.
 void GatewayProcess::announceAsReader(const UpdateHint &hint)
 {
     if (m_designatedReader && m_designatedReader->incarnation == m_incarnation) {
@@ -240,7 +244,7 @@
         return;
     }
     for (const Member &member : othersInDomain()) {
-        // A lost hint is made up for by the next regular read.
+        // After a lost hint the receiver gets the update with its next regular read.
         static_cast<void>(m_peers->send(member.peer, PeerKind::UpdateAvailable, encode(hint)));
     }
 }
@@ -248,16 +252,16 @@
 asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryReader(PeerUpdateRequest request)
 {
     if (!hasOtherReader()) {
-        co_return failure(ErrorKind::PeerLost, "no other gateway reads for this failure domain");
+        co_return failure(ErrorKind::PeerLost, "no other gateway reads the store for this failure domain");
     }
     const Member reader = *m_designatedReader;
     if (m_unresponsivePeers.contains(reader.incarnation, Clock::now())) {
-        co_return failure(ErrorKind::PeerLost, "the reader gave no answer a moment ago");
+        co_return failure(ErrorKind::PeerLost, "the designated reader did not respond to a recent query");
     }
     co_return co_await ask(reader, request, internal::ReaderTimeout);
 }
 
-// Asks for the configuration at a gateway that callers are named, or every other time at any.
+// Queries an ingress gateway for the configuration, or any member with a probability of one half.
 asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryPeer(PeerUpdateRequest request)
 {
     if (request.wantsTargets) {
@@ -303,7 +307,7 @@
     co_return decodePeerUpdate(*response);
 }
 
-// Names the gateways of the caller's failure domain, or all that there are when it has none.
+// Returns the ingress gateways of the caller's failure domain, or all of them if this domain has none.
 LocateResponse GatewayProcess::locate(const FailureDomain &callerDomain) const
 {
     std::vector<Member> sameDomain;
