--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -59,7 +59,7 @@
         kept = kept + pollerRank(self, members, 2).value_or(0);
     });
     const double place = microseconds(Repeats, [&] {
-        kept = kept + carriers(serviceName(0), members, placement, typical).size();
+        kept = kept + assignedProxies(serviceName(0), members, placement, typical).size();
     });
     return {
         { "members", size }, { "copy_us", copy }, { "poller_rank_us", pollers }, { "carriers_of_one_service_us", place }
@@ -103,7 +103,7 @@
         const double empty = heapBytes();
         fill();
         const double table = heapBytes() - empty;
-        const auto onCarriers = [](const ServiceName &, const std::vector<CarrierPeer> &, bool, Instant) {};
+        const auto onCarriers = [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {};
         CarriedServices carried(m_services, m_config, onCarriers, m_members.front(), m_placement, m_events);
         auto list = std::make_shared<const std::vector<Member>>(m_members);
         const auto update = [&] {
--- a/src/app/carriedservices.cpp
+++ b/src/app/carriedservices.cpp
@@ -13,11 +13,11 @@
 // A service that has moved away is served for as long as callers may still come on the strength of an old answer.
 constexpr int ReleaseAfterLifetimes = 2;
 
-std::vector<CarrierPeer> carrierPeers(const std::vector<Member> &members)
+std::vector<AssignedPeer> carrierPeers(const std::vector<Member> &members)
 {
-    std::vector<CarrierPeer> peers;
+    std::vector<AssignedPeer> peers;
     for (const Member &member : members) {
-        peers.push_back(CarrierPeer { PeerId { member.vm, member.incarnation }, member.peer });
+        peers.push_back(AssignedPeer { PeerId { member.vm, member.incarnation }, member.peer });
     }
     std::sort(peers.begin(), peers.end());
     return peers;
@@ -53,10 +53,10 @@
     }));
 }
 
-CarriedServices::Members CarriedServices::carriersOf(const ServiceName &name) const
+CarriedServices::Members CarriedServices::assignedProxiesOf(const ServiceName &name) const
 {
     const std::shared_lock lock(m_indexMutex);
-    return m_index.carriersOf(name);
+    return m_index.assignedProxiesOf(name);
 }
 
 void CarriedServices::update(const std::shared_ptr<const Members> &members, Offset applied, Instant now)
@@ -79,7 +79,7 @@
         changed = m_index.setMembers(members);
     }
     for (const ServiceName &name : changed) {
-        setCarriers(name, now);
+        setAssignedProxies(name, now);
     }
 }
 
@@ -132,15 +132,15 @@
         takeUp(name, now);
     }
     if (moved) {
-        setCarriers(name, now);
+        setAssignedProxies(name, now);
     }
 }
 
-void CarriedServices::setCarriers(const ServiceName &name, Instant now)
+void CarriedServices::setAssignedProxies(const ServiceName &name, Instant now)
 {
-    std::vector<CarrierPeer> carrying = internal::carrierPeers(m_index.carriersOf(name));
+    std::vector<AssignedPeer> carrying = internal::carrierPeers(m_index.assignedProxiesOf(name));
     const PeerId self { m_self.vm, m_self.incarnation };
-    const bool mine = std::any_of(carrying.begin(), carrying.end(), [&self](const CarrierPeer &peer) {
+    const bool mine = std::any_of(carrying.begin(), carrying.end(), [&self](const AssignedPeer &peer) {
         return peer.id == self;
     });
     const bool isServed = m_served.contains(name);
--- a/src/app/carriedservices.h
+++ b/src/app/carriedservices.h
@@ -26,7 +26,7 @@
     // Told of each service served here, after it is in the registry: who carries it, this process among them when
     // `mine`. A service that has moved away is still served with `mine` false. No carriers: it isn't served any more.
     using CarriersHook = std::function<void(
-        const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant now)>;
+        const ServiceName &service, const std::vector<AssignedPeer> &carriers, bool mine, Instant now)>;
 
     CarriedServices(ServiceRegistry &services,
                     ConfigState &config,
@@ -49,12 +49,12 @@
 
     // Returns the members that carry the service as of the last update(), the strongest claim first; none for a service
     // that isn't configured. From any thread.
-    Members carriersOf(const ServiceName &name) const;
+    Members assignedProxiesOf(const ServiceName &name) const;
 
 private:
     // A service that is served here.
     struct Served {
-        std::vector<CarrierPeer> carriers;
+        std::vector<AssignedPeer> carriers;
         bool mine = false;
         std::optional<Instant> releaseAt; // no longer placed here, still served until then
     };
@@ -63,7 +63,7 @@
     void followConfiguration(Offset applied, Instant now);
     void followEdited(const ServiceName &name, Instant now);
     std::vector<ServiceName> allServices() const;
-    void setCarriers(const ServiceName &name, Instant now);
+    void setAssignedProxies(const ServiceName &name, Instant now);
     bool takeUp(const ServiceName &name, Instant now);
     void letGo(const ServiceName &name, Instant now);
     void releaseDue(Instant now);
--- a/src/app/gatewayjoin.cpp
+++ b/src/app/gatewayjoin.cpp
@@ -8,7 +8,7 @@
 #include <openssl/rand.h>
 
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/net/pause.h"
+#include "mulberryplank/net/sleep.h"
 
 namespace mulberryplank
 {
@@ -21,7 +21,8 @@
 namespace
 {
 
-// Until a gateway that has met no other one goes on without: its seeds may all be gone, or start at the same moment.
+// Until a gateway that has onFirstMember no other one goes on without: its seeds may all be gone, or start at the same
+// moment.
 constexpr Duration JoinLimit = Seconds(1);
 // When a whole fleet starts for the first time, all join through the one that made the key, and there are no callers
 // yet: they come one after the other, and nobody reads the store before most are known, else each would do so.
@@ -57,15 +58,15 @@
     };
     const std::function<std::string()> makeKey = internal::randomKey;
     const KeyedStore store = m_store.access();
-    const FleetEntry entry = co_await joinFleet(m_worker.context, store, settings, makeKey, spread);
+    const FleetBootstrap entry = co_await joinFleet(m_worker.context, store, settings, makeKey, spread);
     m_seedsNamed = entry.seeds.size();
     // One that is restarted soon after the first start may be told of that still.
     m_startsFirst = m_settings.firstStart && m_seedsNamed <= 1;
     if (m_startsFirst) {
-        co_await pauseFor(m_worker.context, std::chrono::duration_cast<Duration>(internal::FirstJoinSpread * spread()));
+        co_await sleepFor(m_worker.context, std::chrono::duration_cast<Duration>(internal::FirstJoinSpread * spread()));
     }
     startPeers(entry);
-    co_await pauseFor(m_worker.context, m_startsFirst ? internal::FirstJoinLimit : internal::JoinLimit);
+    co_await sleepFor(m_worker.context, m_startsFirst ? internal::FirstJoinLimit : internal::JoinLimit);
     beginNews();
 }
 
@@ -105,7 +106,7 @@
     return others;
 }
 
-void GatewayProcess::startPeers(const FleetEntry &entry)
+void GatewayProcess::startPeers(const FleetBootstrap &entry)
 {
     PeerTransportSettings transport;
     transport.listen = m_settings.peer;
@@ -113,14 +114,14 @@
     transport.incarnation = m_incarnation;
     transport.fleetKeys = { entry.key };
     m_peers = std::make_unique<PeerTransport>(m_worker.context, std::move(transport), m_events);
-    m_peers->onCall(PeerKind::NewsQuery,
+    m_peers->onCall(PeerKind::UpdateQuery,
                     [this](const PeerSender &sender, std::string_view payload) -> Result<std::string> {
-                        const Result<PeerNewsRequest> request = decodePeerNewsRequest(payload);
+                        const Result<PeerUpdateRequest> request = decodePeerUpdateRequest(payload);
                         if (!request) {
                             notePeerUnreadable(sender, request.error());
                             return tl::make_unexpected(request.error());
                         }
-                        return encode(m_news->answerPeer(*request));
+                        return encode(m_news->respondToPeer(*request));
                     });
     takeDatagrams();
     const Seeds seeds = otherSeeds(entry.seeds);
@@ -148,14 +149,14 @@
     onDatagram(PeerKind::AttemptReports, decodeAttemptReports, [this](const PeerSender &, const auto &reports) {
         takeReports(reports);
     });
-    onDatagram(PeerKind::BudgetQuestion, decodeBudgetMessage, [this](const PeerSender &sender, const auto &message) {
+    onDatagram(PeerKind::BudgetRequest, decodeBudgetMessage, [this](const PeerSender &sender, const auto &message) {
         lendBudget(sender, message);
     });
     onDatagram(PeerKind::BudgetLoan, decodeBudgetMessage, [this](const PeerSender &, const auto &message) {
         borrowBudget(message);
     });
-    onDatagram(PeerKind::NewsChanged, decodeNewsHint, [this](const PeerSender &, const NewsHint &hint) {
-        m_news->noteNewsElsewhere(hint.version);
+    onDatagram(PeerKind::UpdateAvailable, decodeUpdateHint, [this](const PeerSender &, const UpdateHint &hint) {
+        m_news->noteRemoteUpdate(hint.version);
     });
 }
 
@@ -164,7 +165,7 @@
     MemberServiceSettings settings;
     settings.membership.seeds = seeds.peers;
     settings.membership.preferredSeeds = seeds.near;
-    settings.met = [this] {
+    settings.onFirstMember = [this] {
         if (!m_startsFirst) {
             beginNews();
         }
@@ -183,7 +184,7 @@
 
 void GatewayProcess::keepSeeds(std::vector<FleetSeed> seeds)
 {
-    SeedKeeperHooks hooks;
+    SeedPublisherHooks hooks;
     hooks.members = [this] {
         return members();
     };
@@ -191,13 +192,13 @@
         const Seeds others = otherSeeds(found);
         m_members->setSeeds(others.peers, others.near);
     };
-    m_seeds = std::make_unique<SeedKeeper>(m_worker.context,
-                                           m_store.access(),
-                                           ownSeed(),
-                                           m_incarnation,
-                                           SeedKeeperSettings {},
-                                           std::move(hooks),
-                                           m_events);
+    m_seeds = std::make_unique<SeedPublisher>(m_worker.context,
+                                              m_store.access(),
+                                              ownSeed(),
+                                              m_incarnation,
+                                              SeedPublisherSettings {},
+                                              std::move(hooks),
+                                              m_events);
     m_seeds->start(std::move(seeds));
 }
 
--- a/src/app/proxyadmin.cpp
+++ b/src/app/proxyadmin.cpp
@@ -30,14 +30,14 @@
     return json::serialize(array) + "\n";
 }
 
-AdminAnswer jsonAnswer(std::string body)
+AdminResponse jsonAnswer(std::string body)
 {
-    return AdminAnswer { 200, "application/json", std::move(body) };
+    return AdminResponse { 200, "application/json", std::move(body) };
 }
 
 } // namespace internal
 
-asio::awaitable<AdminAnswer> ProxyProcess::answerOperator(AdminRequest request)
+asio::awaitable<AdminResponse> ProxyProcess::answerOperator(AdminRequest request)
 {
     if (request.method == "POST" && request.path == "/-/edit") {
         co_return co_await answerEdit(std::move(request));
@@ -47,31 +47,31 @@
         co_return internal::jsonAnswer("{\"draining\":true}\n");
     }
     if (request.method == "GET") {
-        if (const std::optional<AdminAnswer> answer = answerQuery(request)) {
+        if (const std::optional<AdminResponse> answer = answerQuery(request)) {
             co_return *answer;
         }
     }
-    co_return adminError(Error { ErrorKind::NotFound, "no such page: " + request.method + " " + request.path });
+    co_return adminErrorResponse(Error { ErrorKind::NotFound, "no such page: " + request.method + " " + request.path });
 }
 
-asio::awaitable<AdminAnswer> ProxyProcess::answerEdit(AdminRequest request)
+asio::awaitable<AdminResponse> ProxyProcess::answerEdit(AdminRequest request)
 {
     const Result<Edit> edit = decodeEdit(request.body);
     if (!edit) {
-        co_return adminError(edit.error());
+        co_return adminErrorResponse(edit.error());
     }
     const std::uint64_t wanted = queryNumber(request.query, "wait_ms", internal::DefaultEditWaitMillis);
     const Millis wait(std::min(wanted, internal::MostEditWaitMillis));
     const Result<EditOutcome> outcome =
         co_await m_configSync->submit(*edit, std::max(wait, Millis(internal::DefaultEditWaitMillis)));
     if (!outcome) {
-        co_return adminError(outcome.error());
+        co_return adminErrorResponse(outcome.error());
     }
     if (outcome->status == EditStatus::Conflict) {
-        co_return adminError(Error { ErrorKind::Conflict, outcome->detail });
+        co_return adminErrorResponse(Error { ErrorKind::Conflict, outcome->detail });
     }
     if (outcome->status != EditStatus::Accepted) {
-        co_return adminError(Error { ErrorKind::BadConfiguration, outcome->detail });
+        co_return adminErrorResponse(Error { ErrorKind::BadConfiguration, outcome->detail });
     }
     followConfiguration();
     Timer pause(m_control);
@@ -105,20 +105,20 @@
     return true;
 }
 
-std::optional<AdminAnswer> ProxyProcess::answerQuery(const AdminRequest &request) const
+std::optional<AdminResponse> ProxyProcess::answerQuery(const AdminRequest &request) const
 {
     std::string body;
     if (request.path == "/-/table") {
-        return AdminAnswer { 200, "text/csv", table() };
+        return AdminResponse { 200, "text/csv", table() };
     }
     if (request.path == "/metrics") {
-        return AdminAnswer { 200, "text/plain; version=0.0.4", metrics() };
+        return AdminResponse { 200, "text/plain; version=0.0.4", metrics() };
     }
     if (request.path == "/-/ready") {
         const bool ready = m_callers.ready && !m_draining;
-        return AdminAnswer { ready ? 200 : 503,
-                             "application/json",
-                             ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n" };
+        return AdminResponse { ready ? 200 : 503,
+                               "application/json",
+                               ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n" };
     }
     if (request.path == "/-/status") {
         return internal::jsonAnswer(json::serialize(statusJson()) + "\n");
--- a/src/app/proxyconfig.cpp
+++ b/src/app/proxyconfig.cpp
@@ -79,7 +79,7 @@
     m_carried = std::make_unique<CarriedServices>(
         m_services,
         m_config,
-        [this](const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant now) {
+        [this](const ServiceName &service, const std::vector<AssignedPeer> &carriers, bool mine, Instant now) {
             tellCarriers(service, carriers, mine, now);
         },
         self(),
@@ -90,14 +90,14 @@
 // Evidence and shares are exchanged with the other carriers, also while a service that has moved away is still served;
 // its targets are probed by the carriers alone.
 void ProxyProcess::tellCarriers(const ServiceName &service,
-                                const std::vector<CarrierPeer> &carriers,
+                                const std::vector<AssignedPeer> &carriers,
                                 bool mine,
                                 Instant now)
 {
     const PeerId self { m_settings.vm, m_incarnation };
-    std::vector<CarrierPeer> others;
+    std::vector<AssignedPeer> others;
     std::vector<PeerId> probers;
-    for (const CarrierPeer &peer : carriers) {
+    for (const AssignedPeer &peer : carriers) {
         if (peer.id != self) {
             others.push_back(peer);
         }
@@ -107,7 +107,7 @@
     }
     m_shares->setPeers(service, others);
     m_evidence->setPeers(service, std::move(others), now);
-    m_prober->setCarriers(service, std::move(probers));
+    m_prober->setAssignedProxies(service, std::move(probers));
 }
 
 MemberServiceSettings ProxyProcess::memberSettings() const
@@ -178,8 +178,8 @@
     if (!known) {
         return failure(ErrorKind::UnknownService, "no such service for this account");
     }
-    const std::vector<Member> carrying = m_carried->carriersOf(service);
-    const LocateAnswer located = locateAnswer(carrying, FailureDomain(), m_placement, ++m_locateSeed);
+    const std::vector<Member> carrying = m_carried->assignedProxiesOf(service);
+    const LocateResponse located = locateResponse(carrying, FailureDomain(), m_placement, ++m_locateSeed);
     boost::json::array addresses;
     for (const LocateEntry &entry : located.entries) {
         boost::json::object address = toJson(entry.caller);
--- a/src/app/proxyprocess.cpp
+++ b/src/app/proxyprocess.cpp
@@ -48,7 +48,7 @@
     , m_started(Clock::now())
     , m_once(m_incarnation,
              m_started,
-             OnceSettings {},
+             AtMostOnceSettings {},
              [this](Incarnation incarnation) {
                  return m_callers.memberAddress(incarnation).has_value();
              })
@@ -83,7 +83,7 @@
 {
     m_callers.incarnation = m_incarnation;
     m_callers.events = m_events;
-    m_callers.once = &m_once;
+    m_callers.atMostOnceState = &m_once;
     m_callers.accountDigest = [this](const AccountName &account) {
         return m_config.accountDigest(account);
     };
--- a/src/app/proxyprocess.h
+++ b/src/app/proxyprocess.h
@@ -64,7 +64,7 @@
     bool knowsFleet() const;
     void followConfiguration();
     void setUpFleet();
-    void tellCarriers(const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant now);
+    void tellCarriers(const ServiceName &service, const std::vector<AssignedPeer> &carriers, bool mine, Instant now);
     MemberServiceSettings memberSettings() const;
     std::optional<ServiceAccess> findService(const ServiceName &name) const;
     Result<std::string> locate(const ServiceName &service, const AccountName &account) const;
@@ -72,9 +72,9 @@
     Member self() const;
 
     // proxyadmin.cpp: what operators ask
-    boost::asio::awaitable<AdminAnswer> answerOperator(AdminRequest request);
-    boost::asio::awaitable<AdminAnswer> answerEdit(AdminRequest request);
-    std::optional<AdminAnswer> answerQuery(const AdminRequest &request) const;
+    boost::asio::awaitable<AdminResponse> answerOperator(AdminRequest request);
+    boost::asio::awaitable<AdminResponse> answerEdit(AdminRequest request);
+    std::optional<AdminResponse> answerQuery(const AdminRequest &request) const;
     std::string table() const;
     std::string dump() const;
     boost::json::object statusJson() const;
