--- a/include/mulberryplank/app/adminclient.h
+++ b/include/mulberryplank/app/adminclient.h
@@ -10,44 +10,44 @@
 namespace mulberryplank
 {
 
-// What became of an accepted edit.
-struct EditReply {
+// The result of an accepted edit.
+struct EditResponse {
     Offset offset = 0;
-    std::vector<std::string> inForce; // VMs whose proxies have it in force
-    std::vector<std::string> missing; // VMs whose proxies don't, or haven't said so
+    std::vector<std::string> inForce; // VMs whose proxies have applied it
+    std::vector<std::string> missing; // VMs whose proxies haven't, or haven't reported it
 };
 
 struct AdminClientSettings {
-    std::vector<Endpoint> proxies; // addresses for operators; tried in this order
-    std::string key; // the operator's
-    Duration timeout {}; // of one request, over the time that it asks the proxy to wait
+    std::vector<Endpoint> proxies; // the proxies' addresses for operators, in the order in which they are tried
+    std::string key; // the operator's key, sent as a bearer token
+    Duration timeout {}; // of one request, in addition to the time for which the proxy is asked to wait
 };
 
-// Talks to the address for operators of any one proxy, and to the next one where a proxy can't be reached.
+// Sends requests to the operator address of one proxy, and to the next proxy when one can't be reached.
 class AdminClient
 {
 public:
-    // `pause` waits between attempts; tests pass one that doesn't.
-    AdminClient(AdminClientSettings settings, HttpExchange exchange, std::function<void(Millis)> pause);
+    // `sleepFor` blocks between attempts; tests pass a function that returns at once.
+    AdminClient(AdminClientSettings settings, HttpExchange exchange, std::function<void(Millis)> sleepFor);
     AdminClient(const AdminClient &) = delete;
     AdminClient &operator=(const AdminClient &) = delete;
 
-    // Returns what `path` answers with 200. Errors: NotReady when no proxy could be reached, or the kind that the
-    // proxy named.
+    // Returns the body of the 200 response to a GET of `path`. Errors: NotReady when no proxy could be reached, else
+    // the kind that the proxy reported.
     Result<std::string> get(const std::string &path);
 
-    // Submits an edit and waits up to `wait` for it to be in force everywhere. An attempt whose answer was lost is
-    // repeated under the edit's id, of which the log's readers accept one, so it takes effect once. Errors: Conflict
-    // or BadConfiguration when it was refused, PlatformUnavailable when it may or may not have been accepted, NotReady
-    // when no proxy could be reached and nothing was sent.
-    Result<EditReply> submit(const Edit &edit, Millis wait);
+    // Submits an edit and waits up to `wait` for it to be in force on all proxies. An attempt whose response was lost
+    // is repeated with the same edit id. The log's readers accept an id only once, so the edit takes effect once.
+    // Errors: Conflict or BadConfiguration when it was refused, PlatformUnavailable when it may or may not have been
+    // accepted, NotReady when no proxy could be reached and nothing was sent.
+    Result<EditResponse> submit(const Edit &edit, Millis wait);
 
 private:
-    Result<HttpReply> attempt(const HttpCall &call);
+    Result<HttpResponse> attempt(const HttpRequest &request);
 
     AdminClientSettings m_settings;
     HttpExchange m_exchange;
-    std::function<void(Millis)> m_pause;
+    std::function<void(Millis)> m_sleepFor;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/command.h
+++ b/include/mulberryplank/app/command.h
@@ -14,28 +14,28 @@
 // Exit codes, for scripts.
 enum class ExitCode : int {
     Done = 0,
-    Refused = 1, // the fleet refused it or something is wrong; nothing was changed
-    Usage = 2, // command line, settings or an input file are wrong; nothing was asked of the fleet
+    Refused = 1, // the fleet refused the command, or its status needs attention; nothing was changed
+    Usage = 2, // command line, settings or an input file are invalid; no request was sent to the fleet
     Unavailable = 3, // the fleet or the platform can't be reached; a change may or may not have been accepted
-    NotEverywhere = 4, // accepted, but not in force on every proxy within the time given
+    PartlyInForce = 4, // accepted, but not in force on every proxy within the given time
 };
 
-// What a command gets from its surroundings.
+// A command's connections to the process and the network. Tests replace them.
 struct CommandContext {
     EnvironmentLookup environment;
-    std::vector<std::string> variables; // names of the environment's variables
+    std::vector<std::string> variables; // names of the environment variables
     std::istream &in;
     std::ostream &out;
     std::ostream &err;
     HttpExchange exchange;
-    std::function<void(Millis)> pause; // waits
+    std::function<void(Millis)> sleepFor; // blocks for the given time
     std::function<std::string(std::size_t bytes)> randomBytes; // unpredictable, for secrets and the ids of edits
 };
 
 // Returns the context of a real process.
 CommandContext processContext();
 
-// Runs the subcommand that argv[1] names and returns the exit code. Not to be called by two threads at once.
+// Runs the subcommand that argv[1] names and returns the exit code. Must not be called concurrently.
 ExitCode runCommand(int argc, char **argv, CommandContext &context);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/csvfile.h
+++ b/include/mulberryplank/app/csvfile.h
@@ -12,61 +12,62 @@
 namespace mulberryplank
 {
 
-// One record of a CSV file, with the line on which it ends, counted from 1.
+// One record of a CSV file, with the number of the line on which it ends. Line numbers start at 1.
 struct CsvRecord {
     std::size_t line = 0;
     std::vector<std::string> fields;
 };
 
-// A CSV file: its heading and its records.
+// A CSV file: its column headings and its records.
 struct CsvFile {
-    std::string name; // for messages
+    std::string name; // for error messages
     std::vector<std::string> headings;
     std::vector<CsvRecord> records;
 };
 
-// Reads CSV as spreadsheets write it: with or without a byte-order mark, lines ending in LF or CRLF, fields parted by
-// commas, semicolons or tabs (whichever the heading has most of), quoted or not; empty lines don't count. Errors:
-// BadConfiguration with file and line when it isn't CSV or has no heading.
+// Parses CSV as spreadsheets write it: with or without a byte-order mark, with LF or CRLF line endings, with quoted or
+// unquoted fields. The delimiter is the comma, semicolon or tab, whichever is most frequent in the heading line. Empty
+// lines are ignored. Errors: BadConfiguration with file and line when it isn't CSV or has no heading.
 Result<CsvFile> parseCsv(const std::string &name, std::string_view bytes);
 
 // Returns a file's content. Errors: BadConfiguration when it can't be read.
 Result<std::string> readWholeFile(const std::string &path);
 
-// How one column of a file becomes a part of an item.
+// Describes one column of a CSV file and how its values are stored in an item.
 template<typename Item>
 struct CsvColumn {
     std::string heading;
-    std::string allowed; // for people
-    bool required = false; // a column that isn't may be missing, and leaves the item's default
+    std::string allowed; // the allowed values, for error messages
+    bool required = false; // an optional column may be missing; the item then keeps its default
     std::function<bool(Item &item, const std::string &value)> store; // returns false if the value isn't allowed
-    bool secret = false; // true: no text of the file is ever part of an error
+    bool secret = false; // true: no text of the file is ever included in an error
 };
 
-// What stands in an error in place of text that may be a secret.
-inline constexpr const char *WithheldText = "(withheld)";
+// Replaces text in errors that may be a secret.
+inline constexpr const char *RedactedText = "(withheld)";
 
-// Tells what is wrong with a file's heading, one line each, given the columns that may and must be there. `secret`
-// keeps the file's text out: a file without a heading has a secret in its first line.
-std::vector<std::string> headingProblems(const CsvFile &file,
-                                         const std::vector<std::string> &known,
-                                         const std::vector<std::string> &required,
-                                         bool secret);
+// Returns one line for each problem with a file's heading. `known` lists the allowed columns and `required` those that
+// must be there. `secret` keeps the file's text out of the result, because a file without a heading has a secret in its
+// first line.
+std::vector<std::string> findHeadingProblems(const CsvFile &file,
+                                             const std::vector<std::string> &known,
+                                             const std::vector<std::string> &required,
+                                             bool secret);
 
 // Returns "file line 3, column weight: 'x' is not allowed; allowed: 1 to 10000".
-std::string fieldProblem(const CsvFile &file,
-                         const CsvRecord &record,
-                         const std::string &heading,
-                         const std::string &value,
-                         const std::string &allowed);
+std::string formatFieldProblem(const CsvFile &file,
+                               const CsvRecord &record,
+                               const std::string &heading,
+                               const std::string &value,
+                               const std::string &allowed);
 
-// Returns lines as one text.
+// Returns the lines joined by line feeds.
 std::string joinLines(const std::vector<std::string> &lines);
 
-// Returns the items that a file's records stand for. Errors: BadConfiguration with one line for each thing that is
-// wrong, naming file, line, column and value.
+// Returns the items in a file's records. Errors: BadConfiguration with one line for each problem, naming file, line,
+// column and value.
 template<typename Item>
-Result<std::vector<Item>> itemsOf(const CsvFile &file, const std::vector<CsvColumn<Item>> &columns)
+Result<std::vector<Item>> parseItems(const CsvFile &file, const std::vector<CsvColumn<Item>> &columns)
 {
     std::vector<std::string> known;
     std::vector<std::string> required;
@@ -79,7 +80,7 @@
     const bool secret = std::any_of(columns.begin(), columns.end(), [](const CsvColumn<Item> &column) {
         return column.secret;
     });
-    std::vector<std::string> problems = headingProblems(file, known, required, secret);
+    std::vector<std::string> problems = findHeadingProblems(file, known, required, secret);
     if (!problems.empty()) {
         return failure(ErrorKind::BadConfiguration, joinLines(problems));
     }
@@ -92,13 +93,13 @@
             });
             const std::string value = index < record.fields.size() ? record.fields[index] : "";
             if (!column->store(item, value)) {
-                const std::string shown = secret ? WithheldText : value;
-                problems.push_back(fieldProblem(file, record, column->heading, shown, column->allowed));
+                const std::string shown = secret ? RedactedText : value;
+                problems.push_back(formatFieldProblem(file, record, column->heading, shown, column->allowed));
             }
         }
         if (record.fields.size() > file.headings.size()) {
-            const std::string extra = secret ? WithheldText : record.fields[file.headings.size()];
-            problems.push_back(fieldProblem(file, record, "(none)", extra, "no more fields than headings"));
+            const std::string extra = secret ? RedactedText : record.fields[file.headings.size()];
+            problems.push_back(formatFieldProblem(file, record, "(none)", extra, "no more fields than headings"));
         }
         items.push_back(std::move(item));
     }
--- a/include/mulberryplank/app/httpexchange.h
+++ b/include/mulberryplank/app/httpexchange.h
@@ -10,27 +10,27 @@
 namespace mulberryplank
 {
 
-// One HTTP request of the command line.
-struct HttpCall {
+// An HTTP request that the command line sends.
+struct HttpRequest {
     Endpoint to;
     std::string method; // "GET" or "POST"
-    std::string path; // with the query
+    std::string path; // including the query
     std::string body;
-    std::string bearer; // the operator's key; empty: no Authorization header
+    std::string bearerToken; // operator's key or account's credential; empty: no Authorization header
     Duration timeout {};
 };
 
-// What was answered to it.
-struct HttpReply {
+// The response to an HttpRequest.
+struct HttpResponse {
     int status = 0;
     std::string body;
 };
 
-// Sends one request and waits for the whole answer. Errors: ConnectFailed when no byte of the request was sent,
+// Sends one request and waits for the complete response. Errors: ConnectFailed when no byte of the request was sent,
 // TargetTimeout and TargetReset when it may or may not have taken effect.
-using HttpExchange = std::function<Result<HttpReply>(const HttpCall &call)>;
+using HttpExchange = std::function<Result<HttpResponse>(const HttpRequest &request)>;
 
-// Returns an exchange over a fresh TCP connection for each request.
+// Returns an exchange that opens a new TCP connection for each request.
 HttpExchange tcpExchange();
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/itemcsv.h
+++ b/include/mulberryplank/app/itemcsv.h
@@ -15,25 +15,25 @@
     Route route;
 };
 
-// Each reads the items of a CSV file, whose columns are named in the page for operators. Versions are left at 0.
-// Errors: as for itemsOf(). Secrets are never part of an error.
+// Each returns the items of a CSV file. The columns are documented in docs/OPERATORS.md. Versions are left at 0.
+// Errors: as for parseItems(). Secrets are never included in an error.
 Result<std::vector<Account>> parseAccounts(const CsvFile &file);
 Result<std::vector<Service>> parseServices(const CsvFile &file);
 Result<std::vector<RouteLine>> parseRoutes(const CsvFile &file);
 Result<std::vector<Target>> parseTargets(const CsvFile &file);
 
-// Returns a row's or target's column headed `heading` set from `value`, or what is wrong, for "weight=3" on the command
-// line. Errors: BadConfiguration, naming heading, value and what is allowed.
+// Each sets the column `heading` of a row or target to `value`, for arguments such as "weight=3" on the command line.
+// Errors: BadConfiguration, naming heading, value and the allowed values.
 Result<void> setField(Row &row, const std::string &heading, const std::string &value);
 Result<void> setField(Target &target, const std::string &heading, const std::string &value);
 
-// Returns true if an item may have this name.
+// Returns true if `name` is a valid name of an item.
 bool isItemName(const std::string &name);
 
-// What isItemName() accepts, for people.
+// Describes what isItemName() accepts, for error messages.
 inline constexpr const char *ItemNameAllowed = "1 to 64 letters, digits or ._-:@";
 
-// The least number of characters of an account's secret.
-inline constexpr std::size_t LeastSecretLength = 20;
+// Minimum number of characters of an account's secret.
+inline constexpr std::size_t MinSecretLength = 20;
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/keyfile.h
+++ b/include/mulberryplank/app/keyfile.h
@@ -8,12 +8,12 @@
 namespace mulberryplank
 {
 
-// The least number of characters of a key: 128 bits in hexadecimal, so that no key can be guessed.
-inline constexpr std::size_t LeastKeyLength = 32;
+// Minimum number of characters of a key: 128 bits in hexadecimal, so that a key can't be guessed.
+inline constexpr std::size_t MinKeyLength = 32;
 
-// Returns the keys in the file at `path`: one a line, blank lines and lines that begin with '#' left out. Errors:
-// BadConfiguration when the file can't be read, holds no key, or holds one that is too short or contains blanks; the
-// detail names file and line, and never a key.
+// Returns the keys in the file at `path`, one per line. Blank lines and lines that begin with '#' are skipped. Errors:
+// BadConfiguration when the file can't be read, has no key, or has one that is too short or contains blanks. The
+// detail names file and line, and never contains a key.
 Result<std::vector<std::string>> readKeyFile(const std::string &path);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/options.h
+++ b/include/mulberryplank/app/options.h
@@ -18,7 +18,7 @@
 // Returns a lookup in the environment of this process.
 EnvironmentLookup processEnvironment();
 
-// Where a value came from. A flag wins over the environment, which wins over the default.
+// The source of a value. A flag takes precedence over the environment, and the environment over the default.
 enum class Origin : std::uint8_t {
     Default,
     Environment,
@@ -27,34 +27,34 @@
 
 std::string_view toString(Origin origin);
 
-// Describes one option: its flag, its environment variable, its default, its help text and its check come from here.
+// Describes one option. Its flag, environment variable, default, help text and validation are derived from this.
 struct OptionInfo {
-    std::string name; // "log-level" stands for --log-level and MULBERRYPLANK_LOG_LEVEL
-    std::string placeholder; // what stands for the value in help texts; empty for a switch, which takes no value
-    std::optional<std::string> fallback; // the default; nothing: the option must be given
-    std::string allowed; // for people: which values are accepted
-    std::string help; // for people: what the option does
-    std::function<bool(const std::string &value)> accepts; // not asked about the default; empty: takes anything
+    std::string name; // "log-level" means --log-level and MULBERRYPLANK_LOG_LEVEL
+    std::string placeholder; // represents the value in help texts; empty for a switch, which takes no value
+    std::optional<std::string> defaultValue; // std::nullopt: the option must be given
+    std::string allowed; // the accepted values, for help texts and errors
+    std::string help; // what the option does, for help texts
+    std::function<bool(const std::string &value)> accepts; // not applied to the default; empty: accepts any value
 };
 
 // Returns "--log-level" for "log-level".
-std::string flagOf(const OptionInfo &option);
+std::string flagName(const OptionInfo &option);
 
 // Returns "MULBERRYPLANK_LOG_LEVEL" for "log-level". In the environment a switch is 1 or 0.
-std::string variableOf(const OptionInfo &option);
+std::string variableName(const OptionInfo &option);
 
-// One option's value as it stands after flags, environment and default were weighed.
+// The effective value of one option, taken from its flag, the environment or its default.
 struct OptionValue {
     std::string value; // "1" for a switch that was given, "" for one that wasn't
     Origin origin = Origin::Default;
 };
 
-// A command line as read.
+// A parsed command line.
 struct OptionValues {
-    std::map<std::string, OptionValue> values; // by OptionInfo::name; one for each option
+    std::map<std::string, OptionValue> values; // by OptionInfo::name; has each option
     std::vector<std::string> positionals;
 
-    // Returns the value of an option that was in the table. Throws std::out_of_range for any other.
+    // Returns the value of an option that was passed to parseOptions(). Throws std::out_of_range for any other name.
     const std::string &operator[](const std::string &name) const
     {
         return values.at(name).value;
@@ -67,9 +67,9 @@
     }
 };
 
-// Reads a command line, whose argv[0] is skipped, and the environment by `options`. On failure the detail holds one
-// line for each thing that is wrong, naming flag or variable, value and what is allowed. Not to be called by two
-// threads at once, since getopt_long() keeps its place in globals.
+// Parses a command line and the environment according to `options`. argv[0] is skipped. On failure the detail has one
+// line for each problem, naming flag or variable, value and the allowed values. Must not be called concurrently, since
+// getopt_long() keeps its position in global variables.
 Result<OptionValues> parseOptions(const std::vector<OptionInfo> &options,
                                   int argc,
                                   char **argv,
@@ -78,11 +78,10 @@
 // Returns the help text for `options`, one paragraph for each.
 std::string describeOptions(const std::vector<OptionInfo> &options);
 
-// Returns the whole number that `text` is, or nothing if it is something else or lies outside of the range.
-std::optional<std::uint64_t> parseNumber(std::string_view text, std::uint64_t least, std::uint64_t most);
+// Returns `text` as a whole number, or nothing if it isn't one or is outside of the range.
+std::optional<std::uint64_t> parseNumber(std::string_view text, std::uint64_t minimum, std::uint64_t maximum);
 
-// Returns the decimal number that `text` is, such as 0.25, or nothing if it is something else or lies outside of the
-// range.
-std::optional<double> parseDecimal(const std::string &text, double least, double most);
+// Returns `text` as a decimal number, such as 0.25, or nothing if it isn't one or is outside of the range.
+std::optional<double> parseDecimal(const std::string &text, double minimum, double maximum);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/settingsfile.h
+++ b/include/mulberryplank/app/settingsfile.h
@@ -9,15 +9,14 @@
 namespace mulberryplank
 {
 
-// Variables by name.
+// The values of a settings file by variable name.
 using SettingsFile = std::map<std::string, std::string>;
 
-// Reads lines of the form NAME=VALUE, with the names of the environment variables. Empty lines and lines that begin
-// with
-// '#' are passed over. `place` names the file in errors. Errors: BadConfiguration with place, line and what is wrong.
-Result<SettingsFile> parseSettingsFile(std::string_view text, const std::string &place);
+// Parses lines of the form NAME=VALUE, with the names of the environment variables. Empty lines and lines that begin
+// with '#' are skipped. `fileName` names the file in errors. Errors: BadConfiguration with file, line and problem.
+Result<SettingsFile> parseSettingsFile(std::string_view text, const std::string &fileName);
 
-// Reads the file at `path`. Errors: BadConfiguration, also when it can't be read.
+// Parses the file at `path`. Errors: as for parseSettingsFile(), and BadConfiguration when it can't be read.
 Result<SettingsFile> readSettingsFile(const std::string &path);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/statejson.h
+++ b/include/mulberryplank/app/statejson.h
@@ -10,7 +10,7 @@
 namespace mulberryplank
 {
 
-// Each returns the JSON that the admin interface and the dump show of a thing. Digests of secrets are left out.
+// Each returns its argument as the JSON that the admin interface and the dump contain. Digests of secrets are omitted.
 boost::json::object toJson(const Endpoint &endpoint);
 boost::json::object toJson(const Member &member);
 boost::json::object toJson(const Account &account);
--- a/src/app/commandexplain.cpp
+++ b/src/app/commandexplain.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-std::vector<CommandRow> logCommands()
+std::vector<CommandInfo> logCommands()
 {
     constexpr std::size_t MostLogs = 10'000; // more gateways than a fleet has
     return { { "explain",
--- a/src/app/commandparts.cpp
+++ b/src/app/commandparts.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t EditIdBytes = 16;
 constexpr const char *MillisAllowed = "0 to 600000 (milliseconds)";
 
-// Returns the addresses in "10.0.0.1:81,10.0.0.2:81", or nothing if one of them is none.
+// Returns the addresses in text such as "10.0.0.1:81,10.0.0.2:81", or nothing if one of them is invalid.
 std::optional<std::vector<Endpoint>> parseEndpoints(const std::string &text)
 {
     std::vector<Endpoint> endpoints;
@@ -40,7 +40,7 @@
 
 bool isMillis(const std::string &value)
 {
-    return parseNumber(value, 0, MostMillis).has_value();
+    return parseNumber(value, 0, MaxMillis).has_value();
 }
 
 } // namespace
@@ -52,7 +52,7 @@
           "IP:PORT,...",
           std::nullopt,
           std::string(EndpointAllowed) + "; several with commas between",
-          "Addresses for operators of one or more proxies; the next is asked where one can't be reached.",
+          "Addresses for operators of one or more proxies; if one can't be reached, the next is tried.",
           [](const std::string &value) {
               return parseEndpoints(value).has_value();
           } },
@@ -60,11 +60,11 @@
           "FILE",
           std::nullopt,
           "readable file with one key a line, at least 32 characters each, no blanks",
-          "Operator's key; the first in the file is shown to the proxy.",
+          "File with operator's keys; the first one is sent to the proxy.",
           [](const std::string &value) {
               return readKeyFile(value).has_value();
           } },
-        { "timeout-ms", "MS", "10000", MillisAllowed, "The most that one request may take.", isMillis },
+        { "timeout-ms", "MS", "10000", MillisAllowed, "Maximum duration of one request.", isMillis },
     };
     options.insert(options.end(), more.begin(), more.end());
     return options;
@@ -96,8 +96,8 @@
     AdminClientSettings settings;
     settings.proxies = parseEndpoints(values["admin"]).value_or(std::vector<Endpoint> {});
     settings.key = keys->front();
-    settings.timeout = Millis(parseNumber(values["timeout-ms"], 0, MostMillis).value_or(0));
-    return std::make_unique<AdminClient>(std::move(settings), context.exchange, context.pause);
+    settings.timeout = Millis(parseNumber(values["timeout-ms"], 0, MaxMillis).value_or(0));
+    return std::make_unique<AdminClient>(std::move(settings), context.exchange, context.sleepFor);
 }
 
 ExitCode usageError(const Error &error, CommandContext &context)
@@ -109,19 +109,19 @@
 ExitCode fleetError(const Error &error, CommandContext &context)
 {
     context.err << toString(error.kind) << ": " << error.detail << "\n";
-    const bool away = error.kind == ErrorKind::NotReady || error.kind == ErrorKind::PlatformUnavailable;
+    const bool unavailable = error.kind == ErrorKind::NotReady || error.kind == ErrorKind::PlatformUnavailable;
     if (error.kind == ErrorKind::PlatformUnavailable) {
         context.err << "The edit may or may not have been accepted. The same command can be repeated: it sends only "
                        "what still differs.\n";
     }
-    return away ? ExitCode::Unavailable : ExitCode::Refused;
+    return unavailable ? ExitCode::Unavailable : ExitCode::Refused;
 }
 
 namespace
 {
 
-// Returns the record of an edit that would set the listed items, so that one codec reads both.
-std::string recordOf(json::array items, const std::string &kind)
+// Returns the record of an edit that sets the listed items. This way one codec decodes lists and edits.
+std::string encodeListAsEdit(json::array items, const std::string &kind)
 {
     for (json::value &item : items) {
         item.as_object()["kind"] = kind;
@@ -129,7 +129,7 @@
     return json::serialize(json::object { { "v", 1 }, { "id", "list" }, { "changes", std::move(items) } });
 }
 
-Result<json::array> listJson(AdminClient &client, const std::string &path)
+Result<json::array> fetchJsonList(AdminClient &client, const std::string &path)
 {
     const Result<std::string> body = client.get(path);
     if (!body) {
@@ -138,28 +138,28 @@
     boost::system::error_code problem;
     json::value list = json::parse(*body, problem);
     if (problem || !list.is_array()) {
-        return failure(ErrorKind::Internal, path + ": the proxy's answer is not a JSON list");
+        return failure(ErrorKind::Internal, path + ": the proxy's response is not a JSON list");
     }
     const bool objects = std::all_of(list.get_array().begin(), list.get_array().end(), [](const json::value &item) {
         return item.is_object();
     });
     if (!objects) {
-        return failure(ErrorKind::Internal, path + ": the proxy's answer is not a list of JSON objects");
+        return failure(ErrorKind::Internal, path + ": the proxy's response is not a list of JSON objects");
     }
     return std::move(list.get_array());
 }
 
-// Returns the items that a proxy lists at `path`, in the form that edits carry.
+// Returns the items that a proxy lists at `path`, in the same format as in edits.
 template<typename Item>
-Result<std::vector<Item>> listItems(AdminClient &client, const std::string &path, const std::string &kind)
+Result<std::vector<Item>> fetchItems(AdminClient &client, const std::string &path, const std::string &kind)
 {
-    const Result<json::array> list = listJson(client, path);
+    const Result<json::array> list = fetchJsonList(client, path);
     if (!list || list->empty()) {
         return list.map([](const json::array &) {
             return std::vector<Item> {};
         });
     }
-    const Result<Edit> edit = decodeEdit(recordOf(*list, kind));
+    const Result<Edit> edit = decodeEdit(encodeListAsEdit(*list, kind));
     if (!edit) {
         return failure(ErrorKind::Internal, path + ": " + edit.error().detail);
     }
@@ -172,17 +172,17 @@
 
 } // namespace
 
-Result<std::vector<Service>> listServices(AdminClient &client)
+Result<std::vector<Service>> fetchServices(AdminClient &client)
 {
-    return listItems<Service>(client, "/-/services", "service");
+    return fetchItems<Service>(client, "/-/services", "service");
 }
 
-Result<std::vector<Target>> listTargets(AdminClient &client)
+Result<std::vector<Target>> fetchTargets(AdminClient &client)
 {
-    return listItems<Target>(client, "/-/targets", "target");
+    return fetchItems<Target>(client, "/-/targets", "target");
 }
 
-Result<std::vector<Row>> listRows(AdminClient &client)
+Result<std::vector<Row>> fetchRows(AdminClient &client)
 {
     const Result<std::string> csv = client.get("/-/table");
     if (!csv) {
@@ -195,9 +195,9 @@
     return rows;
 }
 
-Result<std::vector<Account>> listAccounts(AdminClient &client)
+Result<std::vector<Account>> fetchAccounts(AdminClient &client)
 {
-    const Result<json::array> list = listJson(client, "/-/accounts");
+    const Result<json::array> list = fetchJsonList(client, "/-/accounts");
     if (!list) {
         return tl::make_unexpected(list.error());
     }
@@ -218,16 +218,16 @@
 namespace
 {
 
-// Prints where an accepted edit is in force.
-ExitCode printReply(const EditReply &reply, CommandContext &context)
+// Prints on which proxies an accepted edit is in force.
+ExitCode printEditResponse(const EditResponse &response, CommandContext &context)
 {
-    const std::size_t all = reply.inForce.size() + reply.missing.size();
-    context.out << "accepted at offset " << reply.offset << "; in force in " << reply.inForce.size() << " of " << all
-                << " proxies\n";
-    for (const std::string &vm : reply.missing) {
+    const std::size_t all = response.inForce.size() + response.missing.size();
+    context.out << "accepted at offset " << response.offset << "; in force in " << response.inForce.size() << " of "
+                << all << " proxies\n";
+    for (const std::string &vm : response.missing) {
         context.out << "missing: " << vm << "\n";
     }
-    return reply.missing.empty() ? ExitCode::Done : ExitCode::NotEverywhere;
+    return response.missing.empty() ? ExitCode::Done : ExitCode::PartlyInForce;
 }
 
 } // namespace
@@ -237,18 +237,18 @@
                        const OptionValues &values,
                        CommandContext &context)
 {
-    const Millis wait(parseNumber(values["wait"], 0, MostMillis).value_or(0));
+    const Millis wait(parseNumber(values["wait"], 0, MaxMillis).value_or(0));
     ExitCode code = ExitCode::Done;
     for (std::vector<Change> &part : splitForRecords(changes)) {
         const Edit edit { EditId(randomHex(EditIdBytes, context)), std::move(part) };
         if (const Result<void> checked = checkEdit(edit); !checked) {
             return usageError(checked.error(), context);
         }
-        const Result<EditReply> reply = client.submit(edit, wait);
-        if (!reply) {
-            return fleetError(reply.error(), context);
+        const Result<EditResponse> response = client.submit(edit, wait);
+        if (!response) {
+            return fleetError(response.error(), context);
         }
-        code = std::max(code, printReply(*reply, context));
+        code = std::max(code, printEditResponse(*response, context));
     }
     return code;
 }
@@ -262,7 +262,7 @@
         for (const std::string &label : diff.stale) {
             context.err << "conflict: " << label << "\n";
         }
-        context.err << "Somebody else changed these. Nothing was sent; export again and edit anew.\n";
+        context.err << "These were changed after the export. Nothing was sent; export again and repeat the edit.\n";
         return ExitCode::Refused;
     }
     if (diff.changes.empty()) {
--- a/src/app/commandtable.cpp
+++ b/src/app/commandtable.cpp
@@ -48,13 +48,13 @@
     if (!wanted) {
         return usageError({ wanted.error().kind, path + " " + wanted.error().detail }, context);
     }
-    return withList<Row>(values, context, listRows, [&](AdminClient &client, const std::vector<Row> &current) {
+    return withItems<Row>(values, context, fetchRows, [&](AdminClient &client, const std::vector<Row> &current) {
         return applyDiff(client, rowDiff(current, *wanted, values.has("remove-missing")), values, context);
     });
 }
 
-// Returns the row as the table has it, or a new one of version 0.
-Row rowOf(const std::vector<Row> &rows, const AccountName &account, const ServiceName &service)
+// Returns the row of an account and service, or a new row with version 0 if there is none.
+Row findRow(const std::vector<Row> &rows, const AccountName &account, const ServiceName &service)
 {
     for (const Row &row : rows) {
         if (row.account == account && row.service == service) {
@@ -67,7 +67,7 @@
     return row;
 }
 
-// Sets the columns that "weight=3" and the like name.
+// Sets columns from operands such as "weight=3". The first two operands are account and service.
 Result<void> setFields(Row &row, const std::vector<std::string> &operands)
 {
     for (std::size_t index = 2; index < operands.size(); ++index) {
@@ -87,11 +87,11 @@
 {
     const std::vector<std::string> &operands = values.positionals;
     Row scratch;
-    if (const Result<void> fine = setFields(scratch, operands); !fine) {
-        return usageError(fine.error(), context);
+    if (const Result<void> valid = setFields(scratch, operands); !valid) {
+        return usageError(valid.error(), context);
     }
-    return withList<Row>(values, context, listRows, [&](AdminClient &client, const std::vector<Row> &current) {
-        Row wanted = rowOf(current, AccountName(operands[0]), ServiceName(operands[1]));
+    return withItems<Row>(values, context, fetchRows, [&](AdminClient &client, const std::vector<Row> &current) {
+        Row wanted = findRow(current, AccountName(operands[0]), ServiceName(operands[1]));
         const Result<void> set = setFields(wanted, operands);
         if (!set) {
             return usageError(set.error(), context);
@@ -102,7 +102,7 @@
 
 } // namespace
 
-std::vector<CommandRow> tableCommands()
+std::vector<CommandInfo> tableCommands()
 {
     const OptionInfo dryRun = switchOption("dry-run", "Print the difference and send nothing.");
     return {
@@ -110,7 +110,8 @@
           "export",
           "",
           "write the table as CSV",
-          clientOptions({ fileOption("output", "File to write; without one the table goes to standard output.") }),
+          clientOptions(
+              { fileOption("output", "File to write; without one the table is written to standard output.") }),
           0,
           0,
           exportCommand },
@@ -118,7 +119,8 @@
           "import",
           "FILE",
           "change exactly the rows in which a CSV file differs from the table",
-          editOptions({ dryRun, switchOption("remove-missing", "Remove the table's rows that the file lacks.") }),
+          editOptions(
+              { dryRun, switchOption("remove-missing", "Remove the table's rows that are missing from the file.") }),
           1,
           1,
           importCommand },
--- a/src/app/fakefleet.h
+++ b/src/app/fakefleet.h
@@ -28,15 +28,15 @@
     std::string status = "{}";
     std::function<void()> beforeEdit = [] {};
 
-    Result<HttpReply> exchange(const HttpCall &call)
+    Result<HttpResponse> exchange(const HttpRequest &call)
     {
         if (away) {
             return failure(ErrorKind::ConnectFailed, "connection refused");
         }
-        if (call.bearer != "0123456789abcdef0123456789abcdef" && !call.path.starts_with("/-/locate/")) {
-            return HttpReply { 401, R"({"error":"unauthenticated"})" };
+        if (call.bearerToken != "0123456789abcdef0123456789abcdef" && !call.path.starts_with("/-/locate/")) {
+            return HttpResponse { 401, R"({"error":"unauthenticated"})" };
         }
-        return call.method == "POST" ? edit(call.body) : HttpReply { 200, answer(call.path) };
+        return call.method == "POST" ? edit(call.body) : HttpResponse { 200, answer(call.path) };
     }
 
     // Applies an edit as another operator would.
@@ -46,7 +46,7 @@
     }
 
 private:
-    Result<HttpReply> edit(const std::string &body)
+    Result<HttpResponse> edit(const std::string &body)
     {
         beforeEdit();
         lastBody = body;
@@ -63,16 +63,16 @@
             return failure(ErrorKind::TargetReset, "connection reset");
         }
         if (outcome.status == EditStatus::Conflict) {
-            return HttpReply { 409, R"({"error":"conflict","detail":"based on an older version"})" };
+            return HttpResponse { 409, R"({"error":"conflict","detail":"based on an older version"})" };
         }
         if (outcome.status != EditStatus::Accepted) {
-            return HttpReply { 422, R"({"error":"bad-configuration","detail":")" + outcome.detail + "\"}" };
+            return HttpResponse { 422, R"({"error":"bad-configuration","detail":")" + outcome.detail + "\"}" };
         }
         boost::json::object reply { { "status", "accepted" },
                                     { "offset", outcome.offset },
                                     { "in_force", { "vm-1" } } };
         reply["missing"] = boost::json::value_from(missing);
-        return HttpReply { 200, boost::json::serialize(reply) };
+        return HttpResponse { 200, boost::json::serialize(reply) };
     }
 
     std::string answer(const std::string &path) const
@@ -160,7 +160,7 @@
             }
             return variable == "MULBERRYPLANK_OPERATOR_KEY_FILE" ? std::optional(m_keyFile) : std::nullopt;
         };
-        const auto exchange = [this](const HttpCall &call) {
+        const auto exchange = [this](const HttpRequest &call) {
             return m_fleet.exchange(call);
         };
         const auto randomBytes = [this](std::size_t size) {
--- a/src/app/gatewaysettingstest.cpp
+++ b/src/app/gatewaysettingstest.cpp
@@ -125,10 +125,10 @@
     std::stringstream page;
     page << file.rdbuf();
     for (const OptionInfo &option : gatewayOptions()) {
-        const std::string fallback = !option.fallback           ? "must be given"
-                                     : option.fallback->empty() ? "none"
-                                                                : *option.fallback;
-        const std::string row = "| `--" + option.name + "` | " + fallback + " |";
+        const std::string defaultValue = !option.defaultValue           ? "must be given"
+                                         : option.defaultValue->empty() ? "none"
+                                                                        : *option.defaultValue;
+        const std::string row = "| `--" + option.name + "` | " + defaultValue + " |";
         CHECK_TRUE_TEXT(page.str().find(row) != std::string::npos, row.c_str());
     }
 }
--- a/src/app/settingsfile.cpp
+++ b/src/app/settingsfile.cpp
@@ -6,7 +6,7 @@
 namespace mulberryplank
 {
 
-Result<SettingsFile> parseSettingsFile(std::string_view text, const std::string &place)
+Result<SettingsFile> parseSettingsFile(std::string_view text, const std::string &fileName)
 {
     SettingsFile settings;
     std::size_t number = 0;
@@ -22,13 +22,13 @@
             continue;
         }
         const std::size_t equals = line.find('=');
-        const std::string where = place + ", line " + std::to_string(number) + ": ";
+        const std::string where = fileName + ", line " + std::to_string(number) + ": ";
         if (equals == 0 || equals == std::string_view::npos) {
             return failure(ErrorKind::BadConfiguration, where + "allowed: NAME=VALUE");
         }
         const std::string name(line.substr(0, equals));
         if (!settings.emplace(name, line.substr(equals + 1)).second) {
-            return failure(ErrorKind::BadConfiguration, where + name + " stands there twice");
+            return failure(ErrorKind::BadConfiguration, where + name + " appears more than once");
         }
     }
     return settings;
--- a/src/app/settingstores.h
+++ b/src/app/settingstores.h
@@ -1,4 +1,4 @@
-// What the tables of settings have in common: rows, and checks of values.
+// Rows and value checks that the tables of settings share.
 #pragma once
 
 #include <optional>
@@ -13,30 +13,30 @@
 
 inline constexpr const char *NameAllowed = "1 to 64 letters, digits, '.', '-' or '_'";
 
-// One setting: its option, and how its value is stored. `store` returns false for a value that isn't allowed.
+// One setting: its option and the function that stores its value. `store` returns false for a value that isn't allowed.
 template<typename Settings>
 struct SettingRow {
     OptionInfo option;
     bool (*store)(Settings &settings, const std::string &value);
 };
 
-// Returns true if `value` may be a VM's or a failure domain's name.
+// Returns true if `value` is a valid name of a VM or a failure domain.
 bool isName(const std::string &value);
 
-// Stores `value` in `place`, or returns false and leaves it as it was.
-bool storeEndpoint(Endpoint &place, const std::string &value);
+// Stores `value` in `destination`, or returns false and leaves `destination` unchanged.
+bool storeEndpoint(Endpoint &destination, const std::string &value);
 
-// How the tables' rows store a value in one member of the settings.
-template<auto Place, typename Settings>
+// Each stores a value in the member `Field` of the settings. Returns false for a value that isn't allowed.
+template<auto Field, typename Settings>
 bool storeEndpointAt(Settings &settings, const std::string &value)
 {
-    return storeEndpoint(settings.*Place, value);
+    return storeEndpoint(settings.*Field, value);
 }
 
-template<auto Place, typename Settings>
+template<auto Field, typename Settings>
 bool storeNameAt(Settings &settings, const std::string &value)
 {
-    settings.*Place = std::decay_t<decltype(settings.*Place)>(value);
+    settings.*Field = std::decay_t<decltype(settings.*Field)>(value);
     return isName(value);
 }
 
@@ -47,7 +47,7 @@
     return severityFromString(value).has_value();
 }
 
-// Returns the options of a table of settings, each with its check.
+// Returns the options of a table of settings, each with a function that validates its value.
 template<typename Settings>
 std::vector<OptionInfo> optionsOf(const std::vector<SettingRow<Settings>> &rows)
 {
@@ -63,7 +63,7 @@
     return options;
 }
 
-// Reads the settings of a table. Errors: BadConfiguration, one line for each thing that is wrong.
+// Reads the settings of a table. Errors: BadConfiguration, with one line for each problem.
 template<typename Checked, typename Settings>
 Result<Checked> checkRows(const std::vector<SettingRow<Settings>> &rows,
                           const std::vector<OptionInfo> &options,
