--- a/src/app/commandtable.cpp
+++ b/src/app/commandtable.cpp
@@ -110,8 +110,7 @@
           "export",
           "",
           "write the table as CSV",
-          clientOptions(
-              { fileOption("output", "File to write; without one the table is written to standard output.") }),
+          clientOptions({ fileOption("output", "File to write; without one the table goes to standard output.") }),
           0,
           0,
           exportCommand },
@@ -119,8 +118,7 @@
           "import",
           "FILE",
           "change exactly the rows in which a CSV file differs from the table",
-          editOptions(
-              { dryRun, switchOption("remove-missing", "Remove the table's rows that are missing from the file.") }),
+          editOptions({ dryRun, switchOption("remove-missing", "Remove the table's rows that the file lacks.") }),
           1,
           1,
           importCommand },
--- a/src/app/commandtest.cpp
+++ b/src/app/commandtest.cpp
@@ -78,8 +78,8 @@
     CHECK_TRUE(rc::check(
         "the table becomes the file",
         [](const std::vector<std::uint8_t> &before, const std::vector<std::uint8_t> &after) {
-            FakeFleet generated;
-            Operator localUser(generated);
+            FakeFleet localFleet;
+            Operator localUser(localFleet);
             std::vector<Change> items { { service("s") } };
             std::vector<Change> rows;
             for (std::size_t index = 0; index < std::max(before.size(), after.size()); ++index) {
@@ -88,9 +88,9 @@
                     rows.push_back({ row("a" + std::to_string(index), "s", before[index] % 3 + 1, 0) });
                 }
             }
-            generated.apply("items", items);
+            localFleet.apply("items", items);
             if (!rows.empty()) {
-                generated.apply("rows", rows);
+                localFleet.apply("rows", rows);
             }
             std::string csv = Heading;
             std::size_t expected = 0;
@@ -102,10 +102,10 @@
             const std::string path = localUser.file("table.csv", csv);
             const Run first = localUser.run({ "table", "import", path });
             RC_ASSERT(first.code == ExitCode::Done);
-            RC_ASSERT(generated.editsSent == (expected == 0 ? 0 : 1));
-            RC_ASSERT(expected == 0 || decodeEdit(generated.lastBody)->changes.size() == expected);
+            RC_ASSERT(localFleet.editsSent == (expected == 0 ? 0 : 1));
+            RC_ASSERT(expected == 0 || decodeEdit(localFleet.lastBody)->changes.size() == expected);
             for (std::size_t index = 0; index < after.size(); ++index) {
-                const auto found = generated.table.row(AccountName("a" + std::to_string(index)), ServiceName("s"));
+                const auto found = localFleet.table.row(AccountName("a" + std::to_string(index)), ServiceName("s"));
                 RC_ASSERT(found->weight == after[index] % 3 + 1U);
             }
             // Importing the table again changes nothing, as after a command that was killed when its edit had been
@@ -113,7 +113,7 @@
             const std::string exported = localUser.run({ "table", "export" }).out;
             const Run again = localUser.run({ "table", "import", localUser.file("again.csv", exported) });
             RC_ASSERT(again.code == ExitCode::Done);
-            RC_ASSERT(generated.editsSent == (expected == 0 ? 0 : 1));
+            RC_ASSERT(localFleet.editsSent == (expected == 0 ? 0 : 1));
         }));
 }
 
