--- a/src/app/csvfile.cpp
+++ b/src/app/csvfile.cpp
@@ -163,8 +163,7 @@
                 file.name, 1, "column '" + shown + "' is not allowed; allowed: " + internal::joinNames(known)));
         }
         if (std::count(file.headings.begin(), file.headings.end(), heading) > 1 && internal::contains(known, heading)) {
-            problems.push_back(
-                internal::formatLineProblem(file.name, 1, "column '" + heading + "' appears more than once"));
+            problems.push_back(internal::formatLineProblem(file.name, 1, "column '" + heading + "' appears twice"));
         }
     }
     for (const std::string &heading : required) {
--- a/src/app/itemcsv.cpp
+++ b/src/app/itemcsv.cpp
@@ -318,7 +318,7 @@
         const std::size_t line = file.records.at(names.size()).line;
         if (!names.insert(name).second) {
             return failure(ErrorKind::BadConfiguration,
-                           file.name + " line " + std::to_string(line) + ": " + name + " appears more than once");
+                           file.name + " line " + std::to_string(line) + ": " + name + " appears twice");
         }
     }
     return items;
--- a/src/app/settingsfile.cpp
+++ b/src/app/settingsfile.cpp
@@ -28,7 +28,7 @@
         }
         const std::string name(line.substr(0, equals));
         if (!settings.emplace(name, line.substr(equals + 1)).second) {
-            return failure(ErrorKind::BadConfiguration, where + name + " appears more than once");
+            return failure(ErrorKind::BadConfiguration, where + name + " appears twice");
         }
     }
     return settings;
