--- a/src/app/adminclient.cpp
+++ b/src/app/adminclient.cpp
@@ -18,11 +18,11 @@
 constexpr int StatusOk = 200;
 constexpr int StatusUnauthorized = 401;
 
-// Returns the error that a proxy answered, by the name in its body or else by its status.
+// Returns the error in a proxy's response: the kind that its body names, or one for its status.
 Error parseError(const HttpResponse &response)
 {
     if (response.status == StatusUnauthorized) {
-        return { ErrorKind::Unauthenticated, "the proxy knows no such key or secret" };
+        return { ErrorKind::Unauthenticated, "the proxy rejected the key or secret" };
     }
     boost::system::error_code problem;
     const json::value body = json::parse(response.body, problem);
@@ -30,7 +30,7 @@
     const json::value *name = object ? object->if_contains("error") : nullptr;
     const json::value *detail = object ? object->if_contains("detail") : nullptr;
     if (!name || !name->is_string()) {
-        return { ErrorKind::Internal, "the proxy answered with status " + std::to_string(response.status) };
+        return { ErrorKind::Internal, "the proxy responded with status " + std::to_string(response.status) };
     }
     const ErrorKind kind = errorKindFromString(name->get_string().c_str()).value_or(ErrorKind::Internal);
     const std::string text = detail && detail->is_string() ? detail->get_string().c_str() : name->get_string().c_str();
@@ -54,17 +54,17 @@
                               parseNames(response.at("in_force")),
                               parseNames(response.at("missing")) };
     } catch (const std::exception &) {
-        return failure(ErrorKind::PlatformUnavailable, "the proxy's answer to the edit can't be read");
+        return failure(ErrorKind::PlatformUnavailable, "the proxy's response to the edit can't be read");
     }
 }
 
-// Returns true if the edit itself was judged, so that asking again can't change the answer.
+// Returns true if the fleet decided on the edit, so that sending it again has the same result.
 bool isFinal(ErrorKind kind)
 {
     return kind == ErrorKind::Conflict || kind == ErrorKind::BadConfiguration;
 }
 
-// Returns true if the same request may fare better later.
+// Returns true if the same request may succeed later.
 bool isRetryable(ErrorKind kind)
 {
     switch (kind) {
@@ -81,7 +81,7 @@
     }
 }
 
-// Returns true if the proxy can't answer now though another may.
+// Returns true if the proxy can't serve the request at the moment, but another proxy may.
 bool isProxyUnavailable(const HttpResponse &response)
 {
     constexpr int StatusUnavailable = 503;
@@ -144,9 +144,9 @@
     return tl::make_unexpected(internal::isRetryable(last.kind) ? Error { ErrorKind::NotReady, last.detail } : last);
 }
 
-// Sends to one proxy after the other until one answers for itself. What the last one did stands for all of them,
-// unless an earlier one may have taken the request: that must not be forgotten, or a change that may be in force would
-// be reported as not sent.
+// Sends the request to one proxy after another until one serves it. If none does, returns the result of the last one,
+// or of the first one that may have executed the request. Otherwise a change that may be in force would be reported as
+// not sent.
 Result<HttpResponse> AdminClient::attempt(const HttpRequest &request)
 {
     Result<HttpResponse> result = failure(ErrorKind::ConnectFailed, "no proxy given");
--- a/src/app/command.cpp
+++ b/src/app/command.cpp
@@ -26,7 +26,7 @@
 namespace
 {
 
-// The same as in CMakeLists.txt.
+// Set by CMakeLists.txt.
 constexpr const char *ProgramVersion = MULBERRYPLANK_VERSION;
 
 bool isHelpRequested(int argc, char **argv)
@@ -36,7 +36,6 @@
     });
 }
 
-// Prints a command's help.
 void printHelp(const CommandInfo &command, std::ostream &stream)
 {
     stream << "usage: mulberryplank " << command.name << (command.action.empty() ? "" : " " + command.action)
@@ -49,7 +48,7 @@
 {
     const Result<Settings> settings = parseSettings(argc, argv, context.environment);
     if (!settings) {
-        // Where logs are collected, the event is all that is seen of a proxy that doesn't start.
+        // In collected logs this event is the only trace of a proxy that doesn't start.
         EventLog({}).write(Event::SettingsRefused, { { "detail", settings.error().detail } });
         return usageError(settings.error(), context);
     }
@@ -98,7 +97,7 @@
     return ExitCode::Done;
 }
 
-// Returns all commands. Those without a handler read a proxy's settings instead of options of their own.
+// Returns all commands. Those without a handler parse a daemon's settings instead of the command's own options.
 const std::vector<CommandInfo> &commands()
 {
     static const std::vector<CommandInfo> Commands = [] {
@@ -139,7 +138,7 @@
     return Commands;
 }
 
-// A misspelt variable would otherwise be no more than a setting that silently has its default.
+// Without the warning, a setting whose variable is misspelt would keep its default unnoticed.
 void warnAboutUnknownVariables(const CommandContext &context)
 {
     std::vector<OptionInfo> options;
@@ -151,7 +150,7 @@
     }
 }
 
-// Runs a command that reads a daemon's settings.
+// Runs a command that parses a daemon's settings.
 ExitCode runDaemonCommand(const std::string &name, int argc, char **argv, CommandContext &context)
 {
     const std::map<std::string, ExitCode (*)(int, char **, CommandContext &)> handlers {
@@ -163,7 +162,7 @@
     return handlers.at(name)(argc, argv, context);
 }
 
-// Runs a command whose wordCount are read already; argv[0] is its last word.
+// Runs a command. argv[0] is the last word of the command's name.
 ExitCode run(const CommandInfo &command, int argc, char **argv, CommandContext &context)
 {
     if (isHelpRequested(argc, argv)) {
@@ -187,7 +186,7 @@
     return command.handler(*values, context);
 }
 
-// Prints the commands, or those that begin with `name`.
+// Prints all commands, or if `name` isn't empty only those with that first word.
 void printCommands(const std::string &name, std::ostream &stream)
 {
     stream << "usage: mulberryplank COMMAND [FLAGS]\n       mulberryplank COMMAND --help\n"
@@ -201,7 +200,8 @@
         }
     }
     printColumns(lines, stream);
-    stream << "\nEnds with 0: done; 1: refused, or needs attention; 2: wrong use; 3: fleet or platform away;\n"
+    stream << "\nExit codes: 0: done; 1: refused, or needs attention; 2: invalid usage; 3: fleet or platform "
+              "unavailable;\n"
            << "4: accepted, but not in force everywhere within the time given.\n";
 }
 
@@ -209,7 +209,7 @@
 {
     std::string bytes(size, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(bytes.data()), static_cast<int>(size)) != 1) {
-        throw std::runtime_error("no random numbers to be had");
+        throw std::runtime_error("no random numbers are available");
     }
     return bytes;
 }
--- a/src/app/commanditems.cpp
+++ b/src/app/commanditems.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t SecretBytes = 32;
 
-// Returns the items of a CSV file, as `parse` reads them.
+// Returns the items of a CSV file, parsed by `parse`.
 template<typename Item>
 Result<std::vector<Item>> readItems(const std::string &path, Result<std::vector<Item>> (*parse)(const CsvFile &))
 {
@@ -28,7 +28,7 @@
     });
 }
 
-// Returns the item with the name of `wanted`, or `wanted` as it is.
+// Returns the item with the name of `wanted`, or `wanted` if there is none.
 template<typename Item>
 Item findByName(const std::vector<Item> &items, const Item &wanted)
 {
@@ -57,8 +57,8 @@
     });
 }
 
-// Sets a fresh secret and prints it once it is in the table: a secret that was printed and then not accepted would be
-// handed to a caller who could never use it.
+// Sets a new secret and prints it after the edit was accepted. A secret that is printed before and then refused could
+// be given to callers, who could never use it.
 ExitCode setNewSecret(AdminClient &client, Account account, const OptionValues &values, CommandContext &context)
 {
     const std::string secret = randomHex(SecretBytes, context);
@@ -148,8 +148,8 @@
     });
 }
 
-// Puts each route into its service, in the file's order. Errors: BadConfiguration when a route names a service that
-// the services file lacks.
+// Adds each route to its service, in the file's order. Errors: BadConfiguration when a route names a service that is
+// missing from the services file.
 Result<void> attachRoutes(std::vector<Service> &services, const std::vector<RouteLine> &lines, const std::string &path)
 {
     for (const RouteLine &line : lines) {
@@ -297,8 +297,10 @@
           "import",
           "FILE",
           "set the services in a CSV file",
-          editOptions({ switchOption("dry-run", "Print the difference and send nothing."),
-                        fileOption("routes", "CSV file of these services' routes; without one they keep theirs.") }),
+          editOptions(
+              { switchOption("dry-run", "Print the difference and send nothing."),
+                fileOption("routes",
+                           "CSV file of these services' routes; without one the services keep their routes.") }),
           1,
           1,
           importServicesCommand },
--- a/src/app/commandparts.cpp
+++ b/src/app/commandparts.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t EditIdBytes = 16;
 constexpr const char *MillisAllowed = "0 to 600000 (milliseconds)";
 
-// Returns the addresses in "10.0.0.1:81,10.0.0.2:81", or nothing if one of them is none.
+// Returns the addresses in text such as "10.0.0.1:81,10.0.0.2:81", or nothing if one of them is invalid.
 std::optional<std::vector<Endpoint>> parseEndpoints(const std::string &text)
 {
     std::vector<Endpoint> endpoints;
@@ -52,7 +52,7 @@
           "IP:PORT,...",
           std::nullopt,
           std::string(EndpointAllowed) + "; several with commas between",
-          "Addresses for operators of one or more proxies; the next is asked where one can't be reached.",
+          "Addresses for operators of one or more proxies; if one can't be reached, the next is tried.",
           [](const std::string &value) {
               return parseEndpoints(value).has_value();
           } },
@@ -60,11 +60,11 @@
           "FILE",
           std::nullopt,
           "readable file with one key a line, at least 32 characters each, no blanks",
-          "Operator's key; the first in the file is shown to the proxy.",
+          "File with operator's keys; the first one is sent to the proxy.",
           [](const std::string &value) {
               return readKeyFile(value).has_value();
           } },
-        { "timeout-ms", "MS", "10000", MillisAllowed, "The most that one request may take.", isMillis },
+        { "timeout-ms", "MS", "10000", MillisAllowed, "Maximum duration of one request.", isMillis },
     };
     options.insert(options.end(), more.begin(), more.end());
     return options;
@@ -120,7 +120,7 @@
 namespace
 {
 
-// Returns the record of an edit that would set the listed items, so that one codec reads both.
+// Returns the record of an edit that sets the listed items. This way one codec decodes lists and edits.
 std::string encodeListAsEdit(json::array items, const std::string &kind)
 {
     for (json::value &item : items) {
@@ -138,18 +138,18 @@
     boost::system::error_code problem;
     json::value list = json::parse(*body, problem);
     if (problem || !list.is_array()) {
-        return failure(ErrorKind::Internal, path + ": the proxy's answer is not a JSON list");
+        return failure(ErrorKind::Internal, path + ": the proxy's response is not a JSON list");
     }
     const bool objects = std::all_of(list.get_array().begin(), list.get_array().end(), [](const json::value &item) {
         return item.is_object();
     });
     if (!objects) {
-        return failure(ErrorKind::Internal, path + ": the proxy's answer is not a list of JSON objects");
+        return failure(ErrorKind::Internal, path + ": the proxy's response is not a list of JSON objects");
     }
     return std::move(list.get_array());
 }
 
-// Returns the items that a proxy lists at `path`, in the form that edits carry.
+// Returns the items that a proxy lists at `path`, in the same format as in edits.
 template<typename Item>
 Result<std::vector<Item>> fetchItems(AdminClient &client, const std::string &path, const std::string &kind)
 {
@@ -218,7 +218,7 @@
 namespace
 {
 
-// Prints where an accepted edit is in force.
+// Prints on which proxies an accepted edit is in force.
 ExitCode printEditResponse(const EditResponse &response, CommandContext &context)
 {
     const std::size_t all = response.inForce.size() + response.missing.size();
@@ -262,7 +262,7 @@
         for (const std::string &label : diff.stale) {
             context.err << "conflict: " << label << "\n";
         }
-        context.err << "Somebody else changed these. Nothing was sent; export again and edit anew.\n";
+        context.err << "These were changed after the export. Nothing was sent; export again and repeat the edit.\n";
         return ExitCode::Refused;
     }
     if (diff.changes.empty()) {
--- a/src/app/commandtable.cpp
+++ b/src/app/commandtable.cpp
@@ -53,7 +53,7 @@
     });
 }
 
-// Returns the row as the table has it, or a new one of version 0.
+// Returns the row of an account and service, or a new row with version 0 if there is none.
 Row findRow(const std::vector<Row> &rows, const AccountName &account, const ServiceName &service)
 {
     for (const Row &row : rows) {
@@ -67,7 +67,7 @@
     return row;
 }
 
-// Sets the columns that "weight=3" and the like name.
+// Sets columns from operands such as "weight=3". The first two operands are account and service.
 Result<void> setFields(Row &row, const std::vector<std::string> &operands)
 {
     for (std::size_t index = 2; index < operands.size(); ++index) {
--- a/src/app/commandtest.cpp
+++ b/src/app/commandtest.cpp
@@ -36,7 +36,7 @@
     return item;
 }
 
-// The version of rows that the second record of a log sets.
+// The version of rows that were set by the second record of a log.
 constexpr mulberryplank::Version RowsVersion = 2;
 
 constexpr const char *Heading = "account,service,weight,requests_per_second,in_flight,queue,version\n";
@@ -108,7 +108,8 @@
                 const auto found = localFleet.table.row(AccountName("a" + std::to_string(index)), ServiceName("s"));
                 RC_ASSERT(found->weight == after[index] % 3 + 1U);
             }
-            // The same command again, as after one that was killed once its edit was out.
+            // Importing the table again changes nothing, as after a command that was killed when its edit had been
+            // sent.
             const std::string exported = localUser.run({ "table", "export" }).out;
             const Run again = localUser.run({ "table", "import", localUser.file("again.csv", exported) });
             RC_ASSERT(again.code == ExitCode::Done);
@@ -116,7 +117,7 @@
         }));
 }
 
-// Failure: a weight that another operator set in the meantime is back at its old value.
+// Guards against an import that reverts a weight which another operator has set since the export.
 TEST(Command, importBasedOnOldVersionsIsRejectedAsAWhole)
 {
     const std::string path = user.file("table.csv",
@@ -130,7 +131,7 @@
     LONGS_EQUAL(9, weightOf("kpc"));
 }
 
-// Failure: as above, though the file was fresh when it was read.
+// Guards against overwriting a weight that another operator sets after the command has read the table.
 TEST(Command, editIsRejectedWhenAnotherEditIsAppliedFirst)
 {
     fleet.beforeEdit = [this] {
@@ -140,7 +141,7 @@
     LONGS_EQUAL(9, weightOf("kpc"));
 }
 
-// Failure: an account's weight goes up by two edits, or the command reports a conflict with its own edit.
+// Guards against a retry that applies the edit twice, or that reports a conflict with the command's own edit.
 TEST(Command, editIsRetriedUnderItsIdAfterALostResponseAndAppliedOnce)
 {
     fleet.responsesToLose = 2;
--- a/src/app/commandview.cpp
+++ b/src/app/commandview.cpp
@@ -16,7 +16,7 @@
 
 namespace json = boost::json;
 
-// Asks for JSON and hands it to `use`, or prints what is wrong.
+// Requests JSON from `path` and calls `use` with it, or prints the error.
 ExitCode withJson(const OptionValues &values,
                   CommandContext &context,
                   const std::string &path,
@@ -33,7 +33,7 @@
     boost::system::error_code problem;
     const json::value response = json::parse(*body, problem);
     if (problem) {
-        return fleetError({ ErrorKind::Internal, path + ": the proxy's answer is not JSON" }, context);
+        return fleetError({ ErrorKind::Internal, path + ": the proxy's response is not JSON" }, context);
     }
     return use(response);
 }
@@ -63,7 +63,7 @@
     });
 }
 
-// Prints the addresses in an response of locate, one a line.
+// Prints the addresses in a response of locate, one per line.
 ExitCode printLocation(const std::string &body, CommandContext &context)
 {
     try {
@@ -78,11 +78,11 @@
         printColumns(lines, context.out);
         return ExitCode::Done;
     } catch (const std::exception &) {
-        return fleetError({ ErrorKind::Internal, "locate: the proxy's answer can't be read" }, context);
+        return fleetError({ ErrorKind::Internal, "locate: the proxy's response can't be read" }, context);
     }
 }
 
-// Returns what an account's callers show, "ACCOUNT.SECRET", from the first line of a file; nothing without a file.
+// Returns the credential of an account, "ACCOUNT.SECRET", from the first line of a file; empty if `path` is empty.
 Result<std::string> accountCredential(const std::string &path)
 {
     if (path.empty()) {
@@ -93,7 +93,7 @@
     });
 }
 
-// What an account used and was refused, in the order of the CSV's columns after vm and service.
+// The columns of the usage CSV after vm and service: an account's usage, followed by refusalFields().
 const std::vector<std::string> &usageFields()
 {
     static const std::vector<std::string> Fields { "account", "weight", "entitled", "used_slot_seconds",
@@ -115,7 +115,7 @@
     return value == nullptr ? "" : plainText(*value);
 }
 
-// Names of VMs, services and accounts hold no character that CSV would have to quote.
+// Prints values unquoted: names of VMs, services and accounts contain no character that CSV has to quote.
 void printUsage(const json::object &dump, std::ostream &out)
 {
     const std::string vm = fieldText(dump, "vm");
@@ -190,16 +190,16 @@
         return parseEndpoint(value).has_value();
     };
     return { { "proxy", "IP:PORT", std::nullopt, EndpointAllowed, "Address for callers of any proxy.", accepts },
-             fileOption("account-file", "File whose first line is ACCOUNT.SECRET, as the account's callers show it."),
+             fileOption("account-file", "File whose first line is ACCOUNT.SECRET, as the account's callers send it."),
              *timeout,
-             switchOption("json", "Print the answer as it is.") };
+             switchOption("json", "Print the response as it is.") };
 }
 
 } // namespace
 
 std::vector<CommandInfo> viewCommands()
 {
-    const OptionInfo asJson = switchOption("json", "Print the answer as it is.");
+    const OptionInfo asJson = switchOption("json", "Print the response as it is.");
     return {
         { "locate",
           "",
@@ -222,7 +222,7 @@
         { "status",
           "",
           "",
-          "print what matters on one screen; ends with 1 where something needs attention",
+          "print a summary on one screen; exits with 1 if something needs attention",
           clientOptions({ asJson }),
           0,
           0,
--- a/src/app/csvfile.cpp
+++ b/src/app/csvfile.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::string_view ByteOrderMark = "\xEF\xBB\xBF";
 
-// Owns libcsv's parser and collects what it hands out.
+// Owns libcsv's parser and collects the records that it emits.
 class CsvReader
 {
 public:
@@ -34,14 +34,14 @@
     CsvReader(const CsvReader &) = delete;
     CsvReader &operator=(const CsvReader &) = delete;
 
-    // Reads one line of the file, with its line ending. Returns false if it isn't CSV.
+    // Parses one line of the file, including its line ending. Returns false if it isn't CSV.
     bool readLine(std::string_view line)
     {
         ++m_line;
         return csv_parse(&m_parser, line.data(), line.size(), onField, onRecord, this) == line.size();
     }
 
-    // Ends the file. Returns false if a quoted field is still open.
+    // Marks the end of the file. Returns false if a quoted field is still open.
     bool finish()
     {
         return csv_fini(&m_parser, onField, onRecord, this) == 0;
@@ -122,7 +122,7 @@
         const std::size_t length = std::min(bytes.find('\n'), bytes.size() - 1) + 1;
         if (!reader.readLine(bytes.substr(0, length))) {
             return failure(ErrorKind::BadConfiguration,
-                           internal::formatLineProblem(name, reader.line(), "a quote stands where none may stand"));
+                           internal::formatLineProblem(name, reader.line(), "a quote is not allowed here"));
         }
         bytes.remove_prefix(length);
     }
@@ -163,8 +163,7 @@
                 file.name, 1, "column '" + shown + "' is not allowed; allowed: " + internal::joinNames(known)));
         }
         if (std::count(file.headings.begin(), file.headings.end(), heading) > 1 && internal::contains(known, heading)) {
-            problems.push_back(
-                internal::formatLineProblem(file.name, 1, "column '" + heading + "' stands there twice"));
+            problems.push_back(internal::formatLineProblem(file.name, 1, "column '" + heading + "' appears twice"));
         }
     }
     for (const std::string &heading : required) {
--- a/src/app/httpexchange.cpp
+++ b/src/app/httpexchange.cpp
@@ -21,7 +21,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-// A dump of a large process is the largest answer there is.
+// Bytes. The dump of a large process is the largest response.
 constexpr std::uint64_t MaxResponseSize = 256ULL * 1024 * 1024;
 
 http::request<http::string_body> makeHttpRequest(const HttpRequest &httpRequest)
@@ -37,8 +37,8 @@
     return request;
 }
 
-// Throws boost::system::system_error when anything fails; `connected` tells whether that was before or after the
-// first byte.
+// Sends the request and returns the response. Sets `connected` when the connection is established, which is before the
+// first byte of the request is sent. Throws boost::system::system_error on failure.
 asio::awaitable<HttpResponse> exchange(const HttpRequest &httpRequest, bool &connected)
 {
     beast::tcp_stream stream(co_await asio::this_coro::executor);
--- a/src/app/itemcsv.cpp
+++ b/src/app/itemcsv.cpp
@@ -43,7 +43,7 @@
     return number.has_value();
 }
 
-// Spreadsheets of some languages write a decimal comma.
+// Accepts a decimal comma, which spreadsheets write in some languages.
 bool storeDecimal(double &destination, std::string value, double maximum)
 {
     std::replace(value.begin(), value.end(), ',', '.');
@@ -64,7 +64,7 @@
     return number.has_value();
 }
 
-// Spreadsheets write truth values in upperCase.
+// Ignores case, since spreadsheets write TRUE and FALSE.
 bool storeBool(bool &destination, std::string value)
 {
     std::transform(value.begin(), value.end(), value.begin(), [](unsigned char letter) {
@@ -74,7 +74,8 @@
     return destination || value == "no" || value == "false";
 }
 
-// Callers show "ACCOUNT.SECRET" as a bearer token, so a secret holds no dot and nothing that a header may not carry.
+// Callers send "ACCOUNT.SECRET" as a bearer token. A secret therefore contains no dot, and only characters that are
+// allowed in a header.
 bool storeSecret(Account &account, const std::string &secret)
 {
     const bool valid = std::all_of(secret.begin(), secret.end(), [](unsigned char letter) {
@@ -282,7 +283,7 @@
     return Columns;
 }
 
-// Sets one column of an item, or tells what is wrong.
+// Sets one column of an item. Errors: BadConfiguration, naming heading, value and the allowed values.
 template<typename Item>
 Result<void> setColumn(const std::vector<CsvColumn<Item>> &columns,
                        Item &item,
@@ -304,7 +305,7 @@
     return failure(ErrorKind::BadConfiguration, "'" + heading + "' is not allowed; allowed: " + known);
 }
 
-// Returns the first name that stands in two lines, as an error.
+// Returns `items`. Errors: BadConfiguration with the first name that appears in two records.
 template<typename Item>
 Result<std::vector<Item>> rejectDuplicates(const CsvFile &file, Result<std::vector<Item>> items)
 {
@@ -317,7 +318,7 @@
         const std::size_t line = file.records.at(names.size()).line;
         if (!names.insert(name).second) {
             return failure(ErrorKind::BadConfiguration,
-                           file.name + " line " + std::to_string(line) + ": " + name + " stands there twice");
+                           file.name + " line " + std::to_string(line) + ": " + name + " appears twice");
         }
     }
     return items;
--- a/src/app/itemdiff.cpp
+++ b/src/app/itemdiff.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-// Room for the record's frame: format, id and brackets.
+// Bytes reserved for the parts of a record other than its changes: format, id and brackets.
 constexpr std::size_t RecordOverhead = 1024;
 
-// One field of an item as people read it.
+// One field of an item, formatted for display.
 struct DisplayField {
     std::string heading;
     std::string value;
@@ -67,7 +67,7 @@
              { "failure_domain", target.failureDomain.value() } };
 }
 
-// Returns "heading old -> new" for each field that differs, or nothing where none does.
+// Returns "heading old -> new" for each field that differs, or an empty string if none does.
 std::string formatFieldChanges(const std::vector<DisplayField> &before, const std::vector<DisplayField> &after)
 {
     std::string text;
@@ -99,7 +99,7 @@
     return index;
 }
 
-// Adds what brings `before` (nullptr: nothing there) to `after`; its version is what the change is based on.
+// Adds the change from `before` (nullptr: the item is new) to `after`. The change is based on the version of `after`.
 template<typename Item>
 void addChange(ItemDiff &diff, const Item *before, const Item &after)
 {
--- a/src/app/options.cpp
+++ b/src/app/options.cpp
@@ -21,7 +21,8 @@
 
 constexpr std::string_view VariablePrefix = "MULBERRYPLANK_";
 
-// getopt_long() returns this plus the option's index; above every character that it returns for its own purposes.
+// getopt_long() returns this plus the option's index. It is greater than any character, since getopt_long() returns
+// characters such as ':' and '?' for errors.
 constexpr int FirstOptionCode = 1000;
 
 bool isSwitch(const OptionInfo &option)
@@ -59,7 +60,7 @@
     return table;
 }
 
-// Reads the flags into `result`, and what is wrong with them into `problems`.
+// Reads the flags into `result`, and appends a line to `problems` for each invalid one.
 void readFlags(const std::vector<OptionInfo> &options,
                int argc,
                char **argv,
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -101,7 +101,7 @@
     return access(folder.c_str(), W_OK | X_OK) == 0;
 }
 
-// The one table behind flags, variables, defaults, help, checks and the page for operators.
+// The table from which flags, variables, defaults, help and checks are derived. docs/OPERATORS.md lists it.
 const std::vector<ProxyRow> &settingRows()
 {
     static const std::vector<ProxyRow> Rows {
@@ -172,8 +172,8 @@
     return Rows;
 }
 
-// Names the first pair of own addresses that are the same, or nothing. Peers use TCP and UDP, so no address may be
-// shared with theirs.
+// Returns an error that names the first two of the proxy's own addresses that are equal, or nothing. Peers use TCP and
+// UDP, so neither of the two HTTP addresses may be equal to theirs.
 std::optional<std::string> findSharedAddress(const Settings &settings)
 {
     if (settings.caller == settings.admin) {
@@ -188,8 +188,8 @@
     return std::nullopt;
 }
 
-// Callers keep an address for the lifetime of locate's answer. A proxy that closed earlier would refuse callers who
-// did nothing wrong: they would see refused connections on each deployment.
+// Returns an error if the drain limit doesn't exceed the locate lifetime. Callers keep using an address for the
+// lifetime of locate's response. If a proxy closed earlier, they would see refused connections on each deployment.
 std::optional<std::string> checkDrainLimit(const Settings &settings)
 {
     if (settings.drainLimit > settings.locateLifetime) {
--- a/src/app/settingstest.cpp
+++ b/src/app/settingstest.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-// A command line and an environment, with the key files that a proxy's settings need.
+// A command line and an environment with valid settings of a proxy, including a key file.
 class SettingsInput
 {
 public:
@@ -114,26 +114,27 @@
 
 TEST(Settings, flagWinsOverEnvironmentWhichWinsOverDefault)
 {
-    CHECK_TRUE(rc::check("the nearest source given decides", [](bool flagGiven, bool variableGiven) {
-        SettingsInput input;
-        if (flagGiven) {
-            input.flags["threads"] = "11";
-        }
-        if (variableGiven) {
-            input.variables["MULBERRYPLANK_THREADS"] = "7";
-        }
-        const Result<CheckedSettings> checked = input.check();
-        RC_ASSERT(checked.has_value());
-        const std::size_t expected = flagGiven ? 11 : variableGiven ? 7 : 2;
-        const Origin origin = flagGiven ? Origin::Flag : variableGiven ? Origin::Environment : Origin::Default;
-        RC_ASSERT(checked->settings.threads == expected);
-        const auto effective =
-            std::find_if(checked->effective.begin(), checked->effective.end(), [](const auto &entry) {
-                return entry.name == "threads";
-            });
-        RC_ASSERT(effective->origin == origin);
-        RC_ASSERT(effective->value == std::to_string(expected));
-    }));
+    CHECK_TRUE(rc::check(
+        "flag, environment and default take precedence in this order", [](bool flagGiven, bool variableGiven) {
+            SettingsInput input;
+            if (flagGiven) {
+                input.flags["threads"] = "11";
+            }
+            if (variableGiven) {
+                input.variables["MULBERRYPLANK_THREADS"] = "7";
+            }
+            const Result<CheckedSettings> checked = input.check();
+            RC_ASSERT(checked.has_value());
+            const std::size_t expected = flagGiven ? 11 : variableGiven ? 7 : 2;
+            const Origin origin = flagGiven ? Origin::Flag : variableGiven ? Origin::Environment : Origin::Default;
+            RC_ASSERT(checked->settings.threads == expected);
+            const auto effective =
+                std::find_if(checked->effective.begin(), checked->effective.end(), [](const auto &entry) {
+                    return entry.name == "threads";
+                });
+            RC_ASSERT(effective->origin == origin);
+            RC_ASSERT(effective->value == std::to_string(expected));
+        }));
 }
 
 TEST(Settings, invalidValueIsReportedWithItsSourceAndAllowedValues)
@@ -171,7 +172,7 @@
     }
 }
 
-// Failure: a proxy serves callers on the address on which peers or operators expect another protocol.
+// Guards against a proxy that serves callers on the address on which peers or operators expect another protocol.
 TEST(Settings, ownAddressesMustDiffer)
 {
     SettingsInput input;
@@ -179,7 +180,8 @@
     CHECK_TRUE(input.problems().starts_with("--listen and --admin: both are '127.0.0.1:8080'"));
 }
 
-// Failure: callers see refused connections each time a proxy is replaced.
+// Guards against callers seeing refused connections each time a proxy is replaced: they cache addresses for the locate
+// lifetime.
 TEST(Settings, drainLimitMustExceedLocateLifetime)
 {
     SettingsInput input;
--- a/src/app/statusview.cpp
+++ b/src/app/statusview.cpp
@@ -19,10 +19,10 @@
 
 namespace json = boost::json;
 
-// Proxies apply an edit within moments of each other, so that being one or two behind is no matter.
+// Number of records. Proxies apply an edit at slightly different times, so a lag of one or two records is normal.
 constexpr std::int64_t MaxNormalLag = 10;
 
-// Lines of one list on the screen; the rest are counted.
+// Maximum number of lines shown of one list. Further lines are only counted.
 constexpr std::size_t MaxListLines = 15;
 
 using Lines = std::vector<std::vector<std::string>>;
@@ -60,13 +60,13 @@
     return field && field->is_array() ? field->get_array() : json::array {};
 }
 
-// What the screen shows, gathered from the answer.
+// The data of the status screen, collected from the response.
 struct Findings {
     std::map<std::string, int> members; // by status
-    std::int64_t lag = 0; // records that the farthest proxy has applied and this one hasn't
-    Lines targets; // that are not healthy
-    Lines floors; // that bind
-    Lines limits; // that have refused something
+    std::int64_t lag = 0; // records that the most advanced proxy has applied and this one hasn't
+    Lines targets; // targets that are not healthy
+    Lines floors; // floors that bind
+    Lines limits; // limits that have refused requests
     int ejected = 0;
 };
 
@@ -126,15 +126,15 @@
     };
     addIf(!isTrue(status, "ready"), "the proxy is not ready");
     addIf(isTrue(status, "draining"), "the proxy is draining");
-    addIf(!isTrue(status, "log_reachable"), "the log service does not answer");
+    addIf(!isTrue(status, "log_reachable"), "the log service does not respond");
     addIf(findings.lag > MaxNormalLag, "the configuration is behind that of other proxies");
     addIf(findings.members.contains("suspect"), "proxies are suspected");
     addIf(findings.ejected > 0, "targets are ejected");
-    addIf(!findings.floors.empty(), "floors keep sick targets in service");
+    addIf(!findings.floors.empty(), "floors keep faulty targets in service");
     return attention;
 }
 
-// Adds a list below its title.
+// Adds a title and below it the heading and lines of a list, if there are any.
 void addList(std::ostringstream &text, const std::string &title, std::vector<std::string> heading, Lines lines)
 {
     text << title << ": " << (lines.empty() ? "none" : std::to_string(lines.size())) << "\n";
@@ -153,7 +153,7 @@
     }
 }
 
-// Adds a value and all that is below it, one field a line.
+// Adds a value and all nested values, one field per line.
 void addIndented(std::ostringstream &text, const json::value &value, const std::string &indent)
 {
     if (const json::object *object = value.if_object()) {
@@ -196,8 +196,8 @@
     }
     text << "proxy: " << fieldText(status, "vm") << "\n";
     text << "configuration: " << fieldText(status, "applied") << " records applied, " << findings.lag
-         << " behind the farthest proxy\n";
-    text << "log service: " << (internal::isTrue(status, "log_reachable") ? "answers" : "does not answer") << "\n";
+         << " behind the most advanced proxy\n";
+    text << "log service: " << (internal::isTrue(status, "log_reachable") ? "responds" : "does not respond") << "\n";
     text << "proxies: " << findings.members["alive"] << " alive, " << findings.members["suspect"] << " suspected, "
          << findings.members["leaving"] << " leaving, " << findings.members["dead"] << " dead\n";
     internal::addList(text,
