--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -59,7 +59,7 @@
         kept = kept + pollerRank(self, members, 2).value_or(0);
     });
     const double place = microseconds(Repeats, [&] {
-        kept = kept + carriers(serviceName(0), members, placement, typical).size();
+        kept = kept + assignedProxies(serviceName(0), members, placement, typical).size();
     });
     return {
         { "members", size }, { "copy_us", copy }, { "poller_rank_us", pollers }, { "carriers_of_one_service_us", place }
--- a/include/mulberryplank/net/callersession.h
+++ b/include/mulberryplank/net/callersession.h
@@ -49,7 +49,7 @@
     DataAwaitable<bool> relayOnce(Request &request, ExchangeRequest exchange, std::string key);
     DataAwaitable<bool> runExchange(Request &request, ExchangeRequest exchange);
     DataAwaitable<bool> conclude(const Request &request, const ExchangeEnd &end);
-    DataAwaitable<bool> answerOnceDecision(const Request &request, const OnceDecision &decision);
+    DataAwaitable<bool> answerOnceDecision(const Request &request, const AtMostOnceDecision &decision);
     DataAwaitable<bool> forwardToPeer(Request &request, ExchangeRequest exchange, Endpoint peer);
     DataAwaitable<bool> serveInternal(Request &request);
     Result<void> identify(Request &request);
--- a/include/mulberryplank/net/exchange.h
+++ b/include/mulberryplank/net/exchange.h
@@ -12,7 +12,7 @@
 #include "mulberryplank/net/httpmessage.h"
 #include "mulberryplank/net/signal.h"
 #include "mulberryplank/net/worker.h"
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 namespace mulberryplank
 {
@@ -28,7 +28,7 @@
     Route route;
     std::string id;
     Deadline deadline { Instant {}, Duration {} };
-    bool deadlineIsCallers = false;
+    bool deadlineFromCaller = false;
     std::string body; // read so far
     bool bodyComplete = false;
     bool expectsContinue = false;
@@ -40,9 +40,9 @@
 
 // How an exchange ended.
 struct ExchangeEnd {
-    StepKind kind = StepKind::AbortCaller; // Finish, Answer or AbortCaller
-    Step step; // for Answer
-    std::optional<StoredAnswer> stored; // the whole answer, if asked for and small enough
+    StepKind kind = StepKind::AbortCaller; // Finish, Respond or AbortCaller
+    Step step; // for Respond
+    std::optional<StoredResponse> stored; // the whole answer, if asked for and small enough
     Outcome outcome = Outcome::Unknown;
     bool callerGone = false;
 };
@@ -57,7 +57,7 @@
     Exchange(const Exchange &) = delete;
     Exchange &operator=(const Exchange &) = delete;
 
-    // Runs the request. When the result is Answer, nothing has been written to the caller yet. To be called once.
+    // Runs the request. When the result is Respond, nothing has been written to the caller yet. To be called once.
     DataAwaitable<ExchangeEnd> run();
 
 private:
@@ -118,7 +118,7 @@
     CallerFraming m_framing = CallerFraming::None;
     std::string m_unwritten; // the answer's header until the first piece of body is there
     std::vector<char> m_buffer;
-    std::optional<StoredAnswer> m_stored;
+    std::optional<StoredResponse> m_stored;
     bool m_callerGone = false;
     bool m_inAttempt = false; // run() is within an attempt and can't begin another
     AttemptPtr m_readsCaller; // the attempt for which the caller's body is being read
--- a/include/mulberryplank/net/forwardcontext.h
+++ b/include/mulberryplank/net/forwardcontext.h
@@ -9,7 +9,7 @@
 
 #include "mulberryplank/base/event.h"
 #include "mulberryplank/net/headercodec.h"
-#include "mulberryplank/net/newsmessages.h"
+#include "mulberryplank/net/updatemessages.h"
 #include "mulberryplank/net/worker.h"
 #include "mulberryplank/policy/budgetloan.h"
 #include "mulberryplank/policy/routetable.h"
--- a/include/mulberryplank/net/gatewaysession.h
+++ b/include/mulberryplank/net/gatewaysession.h
@@ -17,7 +17,7 @@
     // Waits for routes while this process has just started and may have them in a moment.
     std::function<DataAwaitable<void>()> awaitRoutes;
     // Brings the list of targets up to date, where nobody has needed it for a while. False: it can't be had.
-    std::function<DataAwaitable<bool>()> needTargets;
+    std::function<DataAwaitable<bool>()> ensureTargets;
     bool draining = false; // answers end their connections
     bool closing = false; // new requests are refused
     std::uint64_t inFlight = 0; // requests under way
--- a/include/mulberryplank/net/httpmessage.h
+++ b/include/mulberryplank/net/httpmessage.h
@@ -9,7 +9,7 @@
 
 #include "mulberryplank/base/errorkind.h"
 #include "mulberryplank/net/httpstream.h"
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 namespace mulberryplank
 {
@@ -47,7 +47,7 @@
 RequestHeader targetRequestHeader(const RequestParser &caller, const TargetRequest &request);
 
 // Returns what decisions need of a target's answer.
-AnswerHeader answerHeader(const ResponseParser &parser, bool headRequest);
+ResponseSummary answerHeader(const ResponseParser &parser, bool headRequest);
 
 // Returns the X-Load of an answer: requests under way at the target.
 std::optional<std::uint32_t> reportedLoad(const ResponseParser &parser);
@@ -64,7 +64,7 @@
 inline constexpr std::string_view ContinueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
 
 // Returns the framing for an answer to a caller that speaks HTTP version 1.`minorVersion`.
-CallerFraming callerFraming(const AnswerHeader &answer, int minorVersion);
+CallerFraming callerFraming(const ResponseSummary &answer, int minorVersion);
 
 // Returns the header to pass on to the caller.
 std::string callerAnswerHeader(const ResponseParser &target,
--- a/include/mulberryplank/net/reportbatch.h
+++ b/include/mulberryplank/net/reportbatch.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "mulberryplank/base/time.h"
-#include "mulberryplank/net/newsmessages.h"
+#include "mulberryplank/net/updatemessages.h"
 
 namespace mulberryplank
 {
--- a/src/app/carriedservices.cpp
+++ b/src/app/carriedservices.cpp
@@ -53,10 +53,10 @@
     }));
 }
 
-CarriedServices::Members CarriedServices::carriersOf(const ServiceName &name) const
+CarriedServices::Members CarriedServices::assignedProxiesOf(const ServiceName &name) const
 {
     const std::shared_lock lock(m_indexMutex);
-    return m_index.carriersOf(name);
+    return m_index.assignedProxiesOf(name);
 }
 
 void CarriedServices::update(const std::shared_ptr<const Members> &members, Offset applied, Instant now)
@@ -138,7 +138,7 @@
 
 void CarriedServices::setCarriers(const ServiceName &name, Instant now)
 {
-    std::vector<CarrierPeer> carrying = internal::carrierPeers(m_index.carriersOf(name));
+    std::vector<CarrierPeer> carrying = internal::carrierPeers(m_index.assignedProxiesOf(name));
     const PeerId self { m_self.vm, m_self.incarnation };
     const bool mine = std::any_of(carrying.begin(), carrying.end(), [&self](const CarrierPeer &peer) {
         return peer.id == self;
--- a/src/app/carriedservices.h
+++ b/src/app/carriedservices.h
@@ -49,7 +49,7 @@
 
     // Returns the members that carry the service as of the last update(), the strongest claim first; none for a service
     // that isn't configured. From any thread.
-    Members carriersOf(const ServiceName &name) const;
+    Members assignedProxiesOf(const ServiceName &name) const;
 
 private:
     // A service that is served here.
--- a/src/app/carriedservicestest.cpp
+++ b/src/app/carriedservicestest.cpp
@@ -26,7 +26,7 @@
 
 // What the hook was told last of a service, and how often.
 struct Told {
-    std::size_t carriers = 0;
+    std::size_t assignedProxies = 0;
     bool mine = false;
     int times = 0;
 };
@@ -46,9 +46,9 @@
     CarriedServices m_carried {
         m_registry,
         m_config,
-        [this](const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant) {
+        [this](const ServiceName &service, const std::vector<CarrierPeer> &assignedProxies, bool mine, Instant) {
             const int times = m_told[service].times + 1;
-            m_told[service] = { carriers.size(), mine, times };
+            m_told[service] = { assignedProxies.size(), mine, times };
         },
         m_self,
         m_settings,
@@ -60,7 +60,7 @@
     static PlacementSettings oneCarrier()
     {
         PlacementSettings settings;
-        settings.perFailureDomain = 1;
+        settings.minPerFailureDomain = 1;
         settings.lifetime = 10s;
         return settings;
     }
@@ -88,7 +88,7 @@
     {
         for (int number = 0;; ++number) {
             const ServiceName name("s" + std::to_string(number));
-            if (carriers(name, { m_self, m_other }, m_settings).front().vm == m_other.vm) {
+            if (assignedProxies(name, { m_self, m_other }, m_settings).front().vm == m_other.vm) {
                 return name;
             }
         }
@@ -105,14 +105,14 @@
     update({ m_self, m_other });
     LONGS_EQUAL(0, m_carried.count());
     CHECK_FALSE(m_told[name].mine);
-    LONGS_EQUAL(1, m_told[name].carriers);
+    LONGS_EQUAL(1, m_told[name].assignedProxies);
     m_now += 20s - 1ms;
     update({ m_self, m_other });
     CHECK_TRUE(isServed(name));
     m_now += 1ms;
     update({ m_self, m_other });
     CHECK_FALSE(isServed(name));
-    LONGS_EQUAL(0, m_told[name].carriers);
+    LONGS_EQUAL(0, m_told[name].assignedProxies);
     LONGS_EQUAL(0, m_config.viewCount());
 }
 
@@ -137,7 +137,7 @@
 {
     const ServiceName away = nameThatMovesAway();
     std::string mine = "m0";
-    for (int number = 1; carriers(ServiceName(mine), { m_self, m_other }, m_settings).front().vm != m_self.vm;
+    for (int number = 1; assignedProxies(ServiceName(mine), { m_self, m_other }, m_settings).front().vm != m_self.vm;
          ++number) {
         mine = "m" + std::to_string(number);
     }
@@ -161,7 +161,7 @@
     edit({ { service("pressdesk", 1), true } });
     update({ m_self });
     CHECK_FALSE(isServed(m_name));
-    LONGS_EQUAL(0, m_told[m_name].carriers);
+    LONGS_EQUAL(0, m_told[m_name].assignedProxies);
 }
 
 // Failure: a proxy goes on with an old table for some services, or serves one that others carry.
@@ -177,7 +177,7 @@
             m_self,
             m_settings,
             [](Event, std::initializer_list<EventField>) {});
-        const auto edits = drawLog();
+        const auto edits = generateLog();
         std::size_t next = 0;
         while (next < edits.size()) {
             const auto count = *rc::gen::inRange<std::size_t>(1, 6);
@@ -200,7 +200,7 @@
             config.read([&](const ConfigTable &table) {
                 for (const Service *item : table.services()) {
                     const ServiceSize size { table.targetsOf(item->name).size(), 0 };
-                    const auto carrying = carriers(item->name, members, m_settings, size);
+                    const auto carrying = assignedProxies(item->name, members, m_settings, size);
                     const bool here = std::count(carrying.begin(), carrying.end(), m_self) > 0;
                     mine += here ? 1 : 0;
                     const auto served = registry.find(item->name);
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -69,18 +69,18 @@
     for (const Member &member : all) {
         newest = std::max<std::uint64_t>(newest, member.applied);
     }
-    m_news->noteVersionElsewhere(newest);
-    EntrySettings entries;
-    entries.leastPerDomain = m_settings.entriesPerDomain;
-    m_entries = entryMembers(all, entries);
-    m_reader = readerOf(all, m_settings.failureDomain);
-    m_readsConfiguration = isAmongStrongest(all, m_incarnation, internal::ConfigurationReaders);
+    m_news->noteRemoteVersion(newest);
+    IngressSettings entries;
+    entries.minPerDomain = m_settings.entriesPerDomain;
+    m_entries = ingressMembers(all, entries);
+    m_reader = designatedReader(all, m_settings.failureDomain);
+    m_readsConfiguration = isAmongTopRanked(all, m_incarnation, internal::ConfigurationReaders);
     // The budget's fixed part goes to the gateways that have the requests; the others have what theirs earn.
     const Instant now = Clock::now();
-    m_slackShare.follow(m_entries.size(), isEntry(), now);
-    const double slack = m_slackShare.slack(now);
+    m_retryAllowanceShare.update(m_entries.size(), isEntry(), now);
+    const double fixedAllowance = m_retryAllowanceShare.fixedAllowance(now);
     for (auto &[name, known] : m_services) {
-        known->budget.setSlack(slack);
+        known->budget.setFixedAllowance(fixedAllowance);
     }
 }
 
@@ -114,7 +114,7 @@
         if (found != m_targetsByKey.end()) {
             const KnownTarget &known = found->second;
             const Instant usedAt = now - Millis(report.ageMillis);
-            known.service->balancer.noteRemote(known.name, report.result, report.logRatio, usedAt, now);
+            known.service->balancer.addRemoteEvidence(known.name, report.result, report.logRatio, usedAt, now);
         }
     }
 }
@@ -203,9 +203,9 @@
     const Instant now = Clock::now();
     std::vector<AttemptReport> reports;
     for (auto &[name, known] : m_services) {
-        for (const TargetBalancer::News &news : known->balancer.takeNews()) {
-            const AttemptResult result = news.answered ? AttemptResult::Success : AttemptResult::Cancelled;
-            const double logRatio = SicknessModel::evidenceOf(result).logRatio();
+        for (const TargetBalancer::Update &news : known->balancer.takeUpdates()) {
+            const AttemptResult result = news.responded ? AttemptResult::Success : AttemptResult::Cancelled;
+            const double logRatio = FaultModel::evidenceOf(result).logRatio();
             reports.push_back(attemptReport(news.id, result, logRatio, now - news.usedAt));
         }
     }
@@ -215,7 +215,7 @@
 }
 
 // Tells the gateways of this failure domain, which have their lists from here.
-void GatewayProcess::tellNewsChanged(const NewsHint &hint)
+void GatewayProcess::tellNewsChanged(const UpdateHint &hint)
 {
     if (m_reader && m_reader->incarnation == m_incarnation) {
         tellNear(hint);
@@ -233,7 +233,7 @@
     return near;
 }
 
-void GatewayProcess::tellNear(const NewsHint &hint)
+void GatewayProcess::tellNear(const UpdateHint &hint)
 {
     if (!m_peers) {
         return;
@@ -244,7 +244,7 @@
     }
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::askReader(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryReader(PeerUpdateRequest request)
 {
     if (!anotherReads()) {
         co_return failure(ErrorKind::PeerLost, "no other gateway reads for this failure domain");
@@ -257,13 +257,13 @@
 }
 
 // Asks for the configuration at a gateway that callers are named, or every other time at any.
-asio::awaitable<Result<PeerNews>> GatewayProcess::askPeer(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryPeer(PeerUpdateRequest request)
 {
     if (request.wantsTargets) {
         co_return co_await askPeerForList(request);
     }
     const bool anyMember = std::bernoulli_distribution(0.5)(m_random) || m_entries.size() < 2;
-    const std::optional<Member> chosen = choosePeerForNews(
+    const std::optional<Member> chosen = choosePeerForUpdate(
         anyMember ? members() : m_entries, m_incarnation, request.version, m_silentPeers, Clock::now(), m_random);
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
@@ -271,21 +271,21 @@
     co_return co_await ask(*chosen, request, internal::PeerTimeout);
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::askPeerForList(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::askPeerForList(PeerUpdateRequest request)
 {
     const std::optional<Member> chosen =
-        choosePeerForList(m_entries, members(), m_incarnation, m_peersWithoutList, Clock::now(), m_random);
+        choosePeerForTargetList(m_entries, members(), m_incarnation, m_peersWithoutList, Clock::now(), m_random);
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
     }
-    const Result<PeerNews> news = co_await ask(*chosen, request, internal::ListTimeout);
+    const Result<PeerUpdate> news = co_await ask(*chosen, request, internal::ListTimeout);
     if (news && !news->upToDate && !readsFirstList(*news)) {
         m_peersWithoutList.note(chosen->incarnation, Clock::now());
     }
     co_return news;
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::ask(Member peer, PeerNewsRequest request, Duration limit)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::ask(Member peer, PeerUpdateRequest request, Duration limit)
 {
     std::string payload = encode(request);
     const Result<std::string> answer =
@@ -295,11 +295,11 @@
         m_peersWithoutList.note(peer.incarnation, Clock::now());
         co_return tl::make_unexpected(answer.error());
     }
-    co_return decodePeerNews(*answer);
+    co_return decodePeerUpdate(*answer);
 }
 
 // Names the gateways of the caller's failure domain, or all that there are when it has none.
-LocateAnswer GatewayProcess::locate(const FailureDomain &callerDomain) const
+LocateResponse GatewayProcess::locate(const FailureDomain &callerDomain) const
 {
     std::vector<Member> near;
     for (const Member &entry : m_entries) {
@@ -309,7 +309,7 @@
     }
     PlacementSettings settings;
     settings.lifetime = std::chrono::duration_cast<Millis>(m_settings.locateLifetime);
-    return locateAnswer(near.empty() ? m_entries : near, callerDomain, settings, 0);
+    return locateResponse(near.empty() ? m_entries : near, callerDomain, settings, 0);
 }
 
 } // namespace mulberryplank
--- a/src/app/gatewayjoin.cpp
+++ b/src/app/gatewayjoin.cpp
@@ -8,7 +8,7 @@
 #include <openssl/rand.h>
 
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/net/pause.h"
+#include "mulberryplank/net/sleep.h"
 
 namespace mulberryplank
 {
@@ -57,15 +57,15 @@
     };
     const std::function<std::string()> makeKey = internal::randomKey;
     const KeyedStore store = m_store.access();
-    const FleetEntry entry = co_await joinFleet(m_worker.context, store, settings, makeKey, spread);
+    const FleetBootstrap entry = co_await joinFleet(m_worker.context, store, settings, makeKey, spread);
     m_seedsNamed = entry.seeds.size();
     // One that is restarted soon after the first start may be told of that still.
     m_startsFirst = m_settings.firstStart && m_seedsNamed <= 1;
     if (m_startsFirst) {
-        co_await pauseFor(m_worker.context, std::chrono::duration_cast<Duration>(internal::FirstJoinSpread * spread()));
+        co_await sleepFor(m_worker.context, std::chrono::duration_cast<Duration>(internal::FirstJoinSpread * spread()));
     }
     startPeers(entry);
-    co_await pauseFor(m_worker.context, m_startsFirst ? internal::FirstJoinLimit : internal::JoinLimit);
+    co_await sleepFor(m_worker.context, m_startsFirst ? internal::FirstJoinLimit : internal::JoinLimit);
     beginNews();
 }
 
@@ -105,7 +105,7 @@
     return others;
 }
 
-void GatewayProcess::startPeers(const FleetEntry &entry)
+void GatewayProcess::startPeers(const FleetBootstrap &entry)
 {
     PeerTransportSettings transport;
     transport.listen = m_settings.peer;
@@ -115,12 +115,12 @@
     m_peers = std::make_unique<PeerTransport>(m_worker.context, std::move(transport), m_events);
     m_peers->onCall(PeerKind::NewsQuery,
                     [this](const PeerSender &sender, std::string_view payload) -> Result<std::string> {
-                        const Result<PeerNewsRequest> request = decodePeerNewsRequest(payload);
+                        const Result<PeerUpdateRequest> request = decodePeerUpdateRequest(payload);
                         if (!request) {
                             notePeerUnreadable(sender, request.error());
                             return tl::make_unexpected(request.error());
                         }
-                        return encode(m_news->answerPeer(*request));
+                        return encode(m_news->respondToPeer(*request));
                     });
     takeDatagrams();
     const Seeds seeds = otherSeeds(entry.seeds);
@@ -154,8 +154,8 @@
     onDatagram(PeerKind::BudgetLoan, decodeBudgetMessage, [this](const PeerSender &, const auto &message) {
         borrowBudget(message);
     });
-    onDatagram(PeerKind::NewsChanged, decodeNewsHint, [this](const PeerSender &, const NewsHint &hint) {
-        m_news->noteNewsElsewhere(hint.version);
+    onDatagram(PeerKind::NewsChanged, decodeUpdateHint, [this](const PeerSender &, const UpdateHint &hint) {
+        m_news->noteRemoteUpdate(hint.version);
     });
 }
 
@@ -183,7 +183,7 @@
 
 void GatewayProcess::keepSeeds(std::vector<FleetSeed> seeds)
 {
-    SeedKeeperHooks hooks;
+    SeedPublisherHooks hooks;
     hooks.members = [this] {
         return members();
     };
@@ -191,13 +191,13 @@
         const Seeds others = otherSeeds(found);
         m_members->setSeeds(others.peers, others.near);
     };
-    m_seeds = std::make_unique<SeedKeeper>(m_worker.context,
-                                           m_store.access(),
-                                           ownSeed(),
-                                           m_incarnation,
-                                           SeedKeeperSettings {},
-                                           std::move(hooks),
-                                           m_events);
+    m_seeds = std::make_unique<SeedPublisher>(m_worker.context,
+                                              m_store.access(),
+                                              ownSeed(),
+                                              m_incarnation,
+                                              SeedPublisherSettings {},
+                                              std::move(hooks),
+                                              m_events);
     m_seeds->start(std::move(seeds));
 }
 
--- a/src/app/gatewayprocess.cpp
+++ b/src/app/gatewayprocess.cpp
@@ -15,7 +15,7 @@
 #include "mulberryplank/app/eventlog.h"
 #include "mulberryplank/app/gateway.h"
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/net/pause.h"
+#include "mulberryplank/net/sleep.h"
 
 namespace mulberryplank
 {
@@ -88,7 +88,7 @@
           m_events)
     , m_reports(internal::ReportHold)
     , m_reportsDue(m_worker.context)
-    , m_slackShare({ settings.retrySlack * internal::BudgetGivenOut, settings.retryWindow })
+    , m_retryAllowanceShare({ settings.retrySlack * internal::BudgetGivenOut, settings.retryWindow })
     , m_signals(m_worker.context, SIGTERM, SIGINT, SIGHUP)
 {
     m_signals.add(SIGUSR1);
@@ -113,7 +113,7 @@
     m_gateway.forward.askForBudget = [this](const ServiceName &name) {
         askForBudget(name);
     };
-    NewsHooks hooks;
+    DiscoveryHooks hooks;
     hooks.configurationKey = platform::ConfigurationKey;
     hooks.decodeRoutes = platform::decodeConfiguration;
     hooks.decodeTarget = platform::decodeTarget;
@@ -125,11 +125,11 @@
     hooks.targetsRead = [this](const TargetDirectory &directory, bool fresh) {
         configureTargets(directory, fresh);
     };
-    hooks.askPeer = [this](PeerNewsRequest request) {
-        return askPeer(request);
+    hooks.queryPeer = [this](PeerUpdateRequest request) {
+        return queryPeer(request);
     };
-    hooks.askReader = [this](PeerNewsRequest request) {
-        return askReader(request);
+    hooks.queryReader = [this](PeerUpdateRequest request) {
+        return queryReader(request);
     };
     hooks.hasReader = [this] {
         return anotherReads();
@@ -137,11 +137,11 @@
     hooks.readsConfiguration = [this] {
         return m_readsConfiguration;
     };
-    hooks.followersNear = [this] {
+    hooks.followersInDomain = [this] {
         return membersNear().size() + 1;
     };
-    hooks.storeChanged = [this](bool foundFirst) {
-        if (foundFirst) {
+    hooks.storeChanged = [this](bool firstToRecover) {
+        if (firstToRecover) {
             tellNear({});
         } else {
             tellNewsChanged({});
@@ -150,16 +150,16 @@
     hooks.listChanged = [this] {
         tellNewsChanged({ versionInForce() });
     };
-    m_news = std::make_unique<NewsFollower>(
-        m_worker.context, m_store.access(), NewsSettings {}, std::move(hooks), m_incarnation, m_events);
+    m_news = std::make_unique<DiscoveryClient>(
+        m_worker.context, m_store.access(), DiscoverySettings {}, std::move(hooks), m_incarnation, m_events);
     m_gateway.routes = [this] {
         return m_news->routes();
     };
     m_gateway.awaitRoutes = [this] {
         return m_news->awaitRoutes();
     };
-    m_gateway.needTargets = [this] {
-        return m_news->needTargets();
+    m_gateway.ensureTargets = [this] {
+        return m_news->ensureTargets();
     };
 }
 
@@ -173,13 +173,13 @@
         WindowBudgetSettings budget;
         budget.ratio = m_settings.retryRatio * internal::BudgetGivenOut;
         budget.window = m_settings.retryWindow;
-        budget.slack = 0;
+        budget.fixedAllowance = 0;
         const auto tellSuspicion = [this, name](const SuspicionChange &change) {
             m_events(change.suspected ? Event::TargetSuspected : Event::TargetReturned,
                      { { "service", name.value() },
                        { "target", change.id.value() },
                        { "failure_domain", change.failureDomain.value() },
-                       { "belief", change.belief },
+                       { "belief", change.faultProbability },
                        { "evidence", std::string(toString(change.evidence)) } });
         };
         const auto dropConnections = [this](const Endpoint &endpoint) {
@@ -214,7 +214,7 @@
 asio::awaitable<void> GatewayProcess::tickForever()
 {
     while (true) {
-        co_await pauseFor(m_worker.context, internal::TickInterval);
+        co_await sleepFor(m_worker.context, internal::TickInterval);
         followMembers();
         shareSuccesses();
         if (Clock::now() >= m_nextFileCheck) {
@@ -259,7 +259,7 @@
     m_settings.grace = read->grace;
     m_settings.locateLifetime = read->locateLifetime;
     m_settings.retrySlack = read->retrySlack;
-    m_slackShare.setTotal(m_settings.retrySlack * internal::BudgetGivenOut);
+    m_retryAllowanceShare.setTotal(m_settings.retrySlack * internal::BudgetGivenOut);
     m_settings.entriesPerDomain = read->entriesPerDomain;
     followMembers();
     m_events(Event::SettingsReloaded, { { "detail", m_settings.file } });
@@ -306,7 +306,7 @@
         if (m_gateway.closing && m_gateway.inFlight == 0) {
             break;
         }
-        co_await pauseFor(m_worker.context, internal::DrainCheck);
+        co_await sleepFor(m_worker.context, internal::DrainCheck);
     }
     finish();
 }
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -11,17 +11,17 @@
 #include "mulberryplank/app/gatewaysettings.h"
 #include "mulberryplank/net/adminserver.h"
 #include "mulberryplank/net/budgetmessages.h"
+#include "mulberryplank/net/discoveryclient.h"
 #include "mulberryplank/net/fleetregistry.h"
 #include "mulberryplank/net/gatewayserver.h"
 #include "mulberryplank/net/memberservice.h"
-#include "mulberryplank/net/newsfollower.h"
 #include "mulberryplank/net/peertransport.h"
 #include "mulberryplank/net/reportbatch.h"
-#include "mulberryplank/net/seedkeeper.h"
-#include "mulberryplank/policy/entrychoice.h"
-#include "mulberryplank/policy/newspeer.h"
+#include "mulberryplank/net/seedpublisher.h"
+#include "mulberryplank/policy/ingresschoice.h"
+#include "mulberryplank/policy/peerchoice.h"
 #include "mulberryplank/policy/placement.h"
-#include "mulberryplank/policy/slackshare.h"
+#include "mulberryplank/policy/retryallowanceshare.h"
 
 #include "mulberryplank/net/clock.h"
 #include "storeclient.h"
@@ -89,7 +89,7 @@
 
     // gatewayjoin.cpp: how the other gateways are found
     boost::asio::awaitable<void> joinFleetAndStart();
-    void startPeers(const FleetEntry &entry);
+    void startPeers(const FleetBootstrap &entry);
     void takeDatagrams();
     void startMembers(const Seeds &seeds);
     void beginNews();
@@ -107,18 +107,18 @@
     void askForBudget(const ServiceName &name);
     void lendBudget(const PeerSender &sender, const BudgetMessage &message);
     void borrowBudget(const BudgetMessage &message);
-    void tellNewsChanged(const NewsHint &hint);
-    void tellNear(const NewsHint &hint);
+    void tellNewsChanged(const UpdateHint &hint);
+    void tellNear(const UpdateHint &hint);
     std::vector<Member> membersNear() const;
-    boost::asio::awaitable<Result<PeerNews>> askPeer(PeerNewsRequest request);
-    boost::asio::awaitable<Result<PeerNews>> askPeerForList(PeerNewsRequest request);
-    boost::asio::awaitable<Result<PeerNews>> askReader(PeerNewsRequest request);
-    boost::asio::awaitable<Result<PeerNews>> ask(Member peer, PeerNewsRequest request, Duration limit);
+    boost::asio::awaitable<Result<PeerUpdate>> queryPeer(PeerUpdateRequest request);
+    boost::asio::awaitable<Result<PeerUpdate>> askPeerForList(PeerUpdateRequest request);
+    boost::asio::awaitable<Result<PeerUpdate>> queryReader(PeerUpdateRequest request);
+    boost::asio::awaitable<Result<PeerUpdate>> ask(Member peer, PeerUpdateRequest request, Duration limit);
     bool isEntry() const;
     bool anotherReads() const; // the store, for this failure domain
     Member self() const;
     std::vector<Member> members() const;
-    LocateAnswer locate(const FailureDomain &callerDomain) const;
+    LocateResponse locate(const FailureDomain &callerDomain) const;
 
     // gatewayqueries.cpp: what others ask of the process
     boost::asio::awaitable<AdminAnswer> answerReady(AdminRequest request);
@@ -148,13 +148,13 @@
     std::map<ServiceName, std::unique_ptr<ForwardService>> m_services;
     std::unordered_map<TargetKey, KnownTarget> m_targetsByKey;
     GatewayContext m_gateway;
-    std::unique_ptr<NewsFollower> m_news;
+    std::unique_ptr<DiscoveryClient> m_news;
     std::unique_ptr<GatewayServer> m_server;
     AdminServer m_readyServer;
     AdminServer m_locateServer;
     std::unique_ptr<PeerTransport> m_peers; // from the moment on at which the fleet's key is known
     std::unique_ptr<MemberService> m_members; // likewise
-    std::unique_ptr<SeedKeeper> m_seeds; // likewise
+    std::unique_ptr<SeedPublisher> m_seeds; // likewise
     std::size_t m_seedsNamed = 0; // in the store, as of the start
     bool m_startsFirst = false; // with the whole fleet, for the first time
     bool m_newsBegun = false;
@@ -162,12 +162,12 @@
     ReportBatch m_reports; // for the other entries
     Timer m_reportsDue;
     bool m_awaitsReportsDue = false;
-    SlackShare m_slackShare; // of the fixed part of each service's budget
+    RetryAllowanceShare m_retryAllowanceShare; // of the fixed part of each service's budget
     std::vector<Member> m_entries; // the gateways that callers are named
     std::optional<Member> m_reader; // that reads the store for this failure domain; who knows the same members agrees
     bool m_readsConfiguration = false; // from the store
-    UnhelpfulPeers m_silentPeers { internal::SilenceLasts };
-    UnhelpfulPeers m_peersWithoutList { internal::ListMissingLasts };
+    RecentlyFailedPeers m_silentPeers { internal::SilenceLasts };
+    RecentlyFailedPeers m_peersWithoutList { internal::ListMissingLasts };
     std::shared_ptr<const std::vector<Member>> m_followed; // the members that m_entries were chosen from
     boost::asio::signal_set m_signals;
     std::filesystem::file_time_type m_fileTime {};
--- a/src/app/gatewayqueries.cpp
+++ b/src/app/gatewayqueries.cpp
@@ -4,7 +4,7 @@
 
 #include "directoryapi.h"
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/net/pause.h"
+#include "mulberryplank/net/sleep.h"
 
 namespace mulberryplank
 {
@@ -68,7 +68,7 @@
 asio::awaitable<void> GatewayProcess::awaitJoined()
 {
     while (!m_newsBegun && Clock::now() < m_startedAt + internal::LocateWait) {
-        co_await pauseFor(m_worker.context, internal::JoinedLookAgain);
+        co_await sleepFor(m_worker.context, internal::JoinedLookAgain);
     }
 }
 
@@ -80,7 +80,7 @@
     state["ready"] = isReady();
     state["draining"] = m_draining;
     state["version"] = versionInForce();
-    state["store_answers"] = m_news->storeAnswers();
+    state["store_answers"] = m_news->storeResponds();
     state["store_calls"] = m_store.calls();
     state["in_flight"] = m_gateway.inFlight;
     state["connections"] = m_gateway.connections;
@@ -120,7 +120,7 @@
                 "gauge",
                 "Since the list of targets was read from the store; -1 before it was.",
                 listRead ? toSeconds(Clock::now() - *listRead) : -1);
-    text.single("store_answers", "gauge", "1 while the store answers this process.", m_news->storeAnswers() ? 1 : 0);
+    text.single("store_answers", "gauge", "1 while the store answers this process.", m_news->storeResponds() ? 1 : 0);
     text.single("store_calls_total", "counter", "Calls to the store.", number(m_store.calls()));
     text.single("members", "gauge", "Gateways that this one knows, itself included.", number(members().size()));
     text.single("entries", "gauge", "Gateways that callers are named.", number(m_entries.size()));
--- a/src/app/proxyconfig.cpp
+++ b/src/app/proxyconfig.cpp
@@ -178,8 +178,8 @@
     if (!known) {
         return failure(ErrorKind::UnknownService, "no such service for this account");
     }
-    const std::vector<Member> carrying = m_carried->carriersOf(service);
-    const LocateAnswer located = locateAnswer(carrying, FailureDomain(), m_placement, ++m_locateSeed);
+    const std::vector<Member> carrying = m_carried->assignedProxiesOf(service);
+    const LocateResponse located = locateResponse(carrying, FailureDomain(), m_placement, ++m_locateSeed);
     boost::json::array addresses;
     for (const LocateEntry &entry : located.entries) {
         boost::json::object address = toJson(entry.caller);
--- a/src/app/proxyprocess.cpp
+++ b/src/app/proxyprocess.cpp
@@ -48,7 +48,7 @@
     , m_started(Clock::now())
     , m_once(m_incarnation,
              m_started,
-             OnceSettings {},
+             AtMostOnceSettings {},
              [this](Incarnation incarnation) {
                  return m_callers.memberAddress(incarnation).has_value();
              })
--- a/src/net/budgetmessagestest.cpp
+++ b/src/net/budgetmessagestest.cpp
@@ -13,7 +13,7 @@
     CHECK_EQUAL(7, read->question);
 }
 
-TEST(BudgetMessages, bytesCutShortAreRefused)
+TEST(BudgetMessages, truncatedBytesAreRejected)
 {
     const std::string bytes = encode(BudgetMessage { ServiceName("service"), 7 });
     for (std::size_t size = 0; size < bytes.size(); ++size) {
--- a/src/net/callersession.cpp
+++ b/src/net/callersession.cpp
@@ -268,7 +268,7 @@
         return tl::make_unexpected(deadline.error());
     }
     exchange.deadline = *deadline;
-    exchange.deadlineIsCallers = deadline->at() < request.arrived + exchange.route.timeout;
+    exchange.deadlineFromCaller = deadline->at() < request.arrived + exchange.route.timeout;
     exchange.access = std::move(*access);
     exchange.parser = &request.parser;
     exchange.caller = &m_stream;
@@ -289,7 +289,7 @@
         const bool goesOn = co_await refuse(request, exchange.error());
         co_return goesOn &&exchange.error().kind != ErrorKind::TooManyConnections;
     }
-    const std::string key(fieldValue(request.parser.get(), OnceKeyHeader));
+    const std::string key(fieldValue(request.parser.get(), IdempotencyKeyHeader));
     const bool keyed = !key.empty() && !exchange->route.idempotent;
     const Result<void> body = co_await readBody(request, exchange->deadline.at(), keyed);
     if (!body) {
@@ -325,7 +325,7 @@
         ++m_context.counters.answered;
         m_answered = true;
         co_return request.keepAlive &&request.bodyComplete;
-    case StepKind::Answer: {
+    case StepKind::Respond: {
         ++m_context.counters.refused;
         m_context.events(Event::RequestFailed,
                          { { "account", request.account.value() },
--- a/src/net/callersessiononce.cpp
+++ b/src/net/callersessiononce.cpp
@@ -45,7 +45,7 @@
     {
         m_finished = true;
         if (end.kind == StepKind::Finish && end.stored) {
-            m_once.finishAnswered(m_account, m_key, *end.stored);
+            m_once.finishWithResponse(m_account, m_key, *end.stored);
             return;
         }
         // An answer that was too large to keep can't be given again: the repeat is told that it ran.
@@ -68,18 +68,18 @@
     const std::string_view method(message.method_string().data(), message.method_string().size());
     const bool forwarded = !fieldValue(message, internal::ForwardedHeader).empty();
     message.erase(std::string(internal::ForwardedHeader));
-    const OnceSource source = forwarded ? OnceSource::Peer : OnceSource::Caller;
+    const RequestSource source = forwarded ? RequestSource::Peer : RequestSource::Caller;
     const std::uint64_t fingerprint = requestFingerprint(method, request.path, exchange.body);
-    const OnceDecision decision =
+    const AtMostOnceDecision decision =
         m_context.once->begin(request.account, request.service, key, fingerprint, Clock::now(), source);
-    if (decision.kind == OnceDecisionKind::ForwardTo) {
+    if (decision.kind == AtMostOnceDecisionKind::ForwardTo) {
         const std::optional<Endpoint> peer = m_context.memberAddress(decision.incarnation);
         if (peer) {
             co_return co_await forwardToPeer(request, std::move(exchange), *peer);
         }
-        co_return co_await answerOnceDecision(request, OnceDecision {});
+        co_return co_await answerOnceDecision(request, AtMostOnceDecision {});
     }
-    if (decision.kind != OnceDecisionKind::Run) {
+    if (decision.kind != AtMostOnceDecisionKind::Run) {
         co_return co_await answerOnceDecision(request, decision);
     }
     internal::OnceRun run(*m_context.once, request.account, key);
@@ -92,31 +92,31 @@
     co_return co_await conclude(request, end);
 }
 
-DataAwaitable<bool> CallerSession::answerOnceDecision(const Request &request, const OnceDecision &decision)
+DataAwaitable<bool> CallerSession::answerOnceDecision(const Request &request, const AtMostOnceDecision &decision)
 {
     OwnAnswer own;
     switch (decision.kind) {
-    case OnceDecisionKind::Replay:
+    case AtMostOnceDecisionKind::Replay:
         own.status = decision.answer->status;
         own.body = decision.answer->body;
         own.fields = decision.answer->headers;
         own.fields.emplace_back(internal::ReplayHeader, "1");
         co_return co_await answer(request, std::move(own));
-    case OnceDecisionKind::InProgress:
+    case AtMostOnceDecisionKind::InProgress:
         own =
             errorAnswerFor(ErrorKind::RepeatInProgress, Outcome::Unknown, 1, "the first one is under way", request.id);
         break;
-    case OnceDecisionKind::KeyReused:
+    case AtMostOnceDecisionKind::KeyReused:
         own =
             errorAnswerFor(ErrorKind::KeyReused, Outcome::NotRun, 0, "the key stands for another request", request.id);
         break;
-    case OnceDecisionKind::Full: {
+    case AtMostOnceDecisionKind::Full: {
         const auto wait = std::chrono::ceil<Seconds>(decision.retryAfter).count();
         own = errorAnswerFor(
             ErrorKind::RateLimited, Outcome::NotRun, static_cast<int>(wait), "too many keys", request.id);
         break;
     }
-    case OnceDecisionKind::KeyRequired:
+    case AtMostOnceDecisionKind::KeyRequired:
         own = errorAnswerFor(
             ErrorKind::KeyRequired, Outcome::NotRun, 0, "the key must begin with X-Once-Token", request.id);
         break;
@@ -159,7 +159,7 @@
     if (!error) {
         error = co_await stream.readHeader(parser);
     }
-    StoredAnswer answer;
+    StoredResponse answer;
     while (!error && !parser.is_done() && answer.body.size() <= internal::ForwardedAnswerBytes) {
         std::array<char, 4096> buffer {};
         const BodyPiece piece = co_await stream.readBody(parser, boost::asio::buffer(buffer));
--- a/src/net/callersessiononcetest.cpp
+++ b/src/net/callersessiononcetest.cpp
@@ -138,7 +138,7 @@
     proxy.members[3] = second.address();
     second.members[3] = proxy.address();
     Peer caller = proxy.caller();
-    caller.write(keyedPost("Idempotency-Key: " + toString(OnceToken { 3, 0 }) + "/order\r\n", "book"));
+    caller.write(keyedPost("Idempotency-Key: " + toString(IdempotencyToken { 3, 0 }) + "/order\r\n", "book"));
     CHECK_TRUE(contains(readAnswer(caller).body, "repeat-unknown"));
     LONGS_EQUAL(2, proxy.context.requestNumber + second.context.requestNumber);
 }
@@ -146,7 +146,7 @@
 TEST(CallerSessionOnce, TellsThatTheDecidingProcessIsGone)
 {
     Peer caller = proxy.caller();
-    caller.write(keyedPost("Idempotency-Key: " + toString(OnceToken { 3, 0 }) + "/order\r\n", "book"));
+    caller.write(keyedPost("Idempotency-Key: " + toString(IdempotencyToken { 3, 0 }) + "/order\r\n", "book"));
     const Answer answer = readAnswer(caller);
     CHECK_TRUE(contains(answer.body, "repeat-unknown"));
     CHECK_TRUE(contains(answer.header, "X-Outcome: unknown\r\n"));
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -12,16 +12,16 @@
 namespace internal
 {
 
-PlanSettings planSettings(const ExchangeRequest &request)
+RequestPlanSettings planSettings(const ExchangeRequest &request)
 {
-    PlanSettings settings { .requestId = request.id,
-                            .idempotent = request.route.idempotent,
-                            .resumable = request.parser->get().method() == boost::beast::http::verb::get,
-                            .deadline = request.deadline,
-                            .deadlineIsCallers = request.deadlineIsCallers,
-                            .progressTimeout = request.route.progressTimeout,
-                            .hedgeDelay = std::nullopt,
-                            .backoff = {} };
+    RequestPlanSettings settings { .requestId = request.id,
+                                   .idempotent = request.route.idempotent,
+                                   .resumable = request.parser->get().method() == boost::beast::http::verb::get,
+                                   .deadline = request.deadline,
+                                   .deadlineFromCaller = request.deadlineFromCaller,
+                                   .progressTimeout = request.route.progressTimeout,
+                                   .hedgeDelay = std::nullopt,
+                                   .backoff = {} };
     if (request.route.idempotent && request.bodyComplete) {
         settings.hedgeDelay = request.access.state->hedgeDelay(request.routeIndex);
     }
@@ -85,7 +85,7 @@
     case StepKind::Cancel:
         cancelAttempt(step);
         break;
-    case StepKind::PassHeader:
+    case StepKind::ForwardHeader:
     case StepKind::ContinueBody:
         m_source = find(step.attempt);
         break;
@@ -94,7 +94,7 @@
         m_end = step;
         break;
     case StepKind::AbortCaller:
-    case StepKind::Answer:
+    case StepKind::Respond:
         m_end = step;
         break;
     }
--- a/src/net/exchangeattempt.cpp
+++ b/src/net/exchangeattempt.cpp
@@ -89,7 +89,7 @@
         attempt->connection = m_worker.pool.take(endpoint, m_request.route.idempotent, Clock::now());
     }
     const bool reused = attempt->connection != nullptr;
-    m_plan.onTarget(attempt->number, attempt->grant->target, reused, Clock::now());
+    m_plan.onTargetSelected(attempt->number, attempt->grant->target, reused, Clock::now());
     armTimer();
     if (reused) {
         co_return true;
@@ -179,7 +179,7 @@
             co_return error;
         }
     }
-    m_plan.onRequestBodyDropped();
+    m_plan.onRequestBodyDiscarded();
     m_readsCaller = attempt;
     watchForAnswer(attempt);
     const error_code error = co_await pumpBody(attempt);
--- a/src/net/exchangeattemptstate.h
+++ b/src/net/exchangeattemptstate.h
@@ -23,7 +23,7 @@
     std::optional<Grant> grant; // until given back
     TargetConnectionPtr connection;
     std::unique_ptr<ResponseParser> parser;
-    AnswerHeader header;
+    ResponseSummary header;
     Instant grantedAt {};
     std::optional<Instant> firstByteAt;
     int shedRetryAfter = 0;
--- a/src/net/exchangebody.cpp
+++ b/src/net/exchangebody.cpp
@@ -95,7 +95,7 @@
     if (source->cancelled) {
         co_return;
     }
-    apply(m_plan.onPassedOn(source->number, Clock::now()));
+    apply(m_plan.onForwarded(source->number, Clock::now()));
     if (piece.last && !source->cancelled) {
         apply(m_plan.onBodyEnd(source->number, Clock::now()));
         if (m_end && m_end->kind == StepKind::Finish) {
@@ -117,7 +117,7 @@
                 co_return;
             }
         }
-        apply(m_plan.onPassedOn(source->number, Clock::now()));
+        apply(m_plan.onForwarded(source->number, Clock::now()));
     }
     m_buffer.resize(internal::AnswerPieceSize);
     while (!m_end && m_source == source && !source->cancelled) {
--- a/src/net/exchangewatch.cpp
+++ b/src/net/exchangewatch.cpp
@@ -33,7 +33,7 @@
     if (m_request.outlivesCaller && m_stored) {
         return;
     }
-    apply(m_plan.onCallerGone());
+    apply(m_plan.onCallerDisconnected());
     m_signal.set();
 }
 
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -66,17 +66,18 @@
 bool Forwarder::startAttempt(AttemptCause cause)
 {
     const Instant now = Clock::now();
-    ChooseTarget wanted;
-    wanted.route = m_request.route;
-    wanted.excluded = m_tried;
-    wanted.requestBytes = m_request.body.size();
-    wanted.connected = [this](const Endpoint &endpoint) {
+    TargetSelection selection;
+    selection.route = m_request.route;
+    selection.excluded = m_tried;
+    selection.requestBytes = m_request.body.size();
+    selection.connected = [this](const Endpoint &endpoint) {
         return m_context.worker->pool.has(endpoint);
     };
     // Without the budget for an attempt after this one, it is the last.
     const double spentByThis = cause == AttemptCause::First ? 0 : 1;
-    wanted.isLast = m_plan.nextIsLast() || m_service.budget.left(now) < spentByThis + 1 + internal::RetryReserve;
-    std::optional<ChosenTarget> chosen = m_service.balancer.choose(wanted, now);
+    selection.isLast =
+        m_plan.nextAttemptIsLast() || m_service.budget.left(now) < spentByThis + 1 + internal::RetryReserve;
+    std::optional<ChosenTarget> chosen = m_service.balancer.choose(selection, now);
     if (!chosen) {
         return false;
     }
@@ -95,7 +96,7 @@
         // Otherwise each of the others would send it a request as well, and lose it if the target is sick.
         share(*attempt, AttemptResult::Cancelled, 0);
     }
-    attempt->silenceAt = m_service.balancer.nextSilence(attempt->target.id, now);
+    attempt->silenceAt = m_service.balancer.nextNoResponseReport(attempt->target.id, now);
     m_plan.onStarted();
     m_attempts.push_back(attempt);
     boost::asio::co_spawn(
@@ -132,10 +133,10 @@
 void Forwarder::settle(AttemptState &attempt, AttemptResult result)
 {
     const Instant now = Clock::now();
-    AttemptEnd end;
+    AttemptOutcome end;
     end.result = result;
     end.latency = now - attempt.started;
-    end.answerBytes = attempt.body.size();
+    end.responseBytes = attempt.body.size();
     end.load = attempt.fields.load;
     const std::optional<double> news =
         m_service.balancer.end(attempt.target.id, *m_request.route, attempt.started, end, now);
@@ -143,7 +144,7 @@
         share(attempt, result, *news);
     }
     if (attempt.fields.wrongTarget) {
-        m_service.balancer.noteGone(attempt.target.id);
+        m_service.balancer.markRemoved(attempt.target.id);
     }
     attempt.judged = true;
     m_context.metrics.noteAttempt(m_request.service, attempt.target.id, result, end.latency);
@@ -168,11 +169,11 @@
         }
         TargetBalancer &balancer = m_service.balancer;
         const TargetName &target = attempt->target.id;
-        const std::optional<double> news = balancer.takeSilence(target, attempt->started, now);
+        const std::optional<double> news = balancer.takeNoResponseEvidence(target, attempt->started, now);
         if (news) {
             share(*attempt, AttemptResult::Timeout, *news);
         }
-        attempt->silenceAt = balancer.nextSilence(target, attempt->started);
+        attempt->silenceAt = balancer.nextNoResponseReport(target, attempt->started);
     }
 }
 
@@ -238,7 +239,7 @@
 {
     m_hedgeAt.reset();
     m_hedgeNeeds = {};
-    if (!isIdempotent(m_request.route->kind) || m_request.route->mostAttempts < 2) {
+    if (!isIdempotent(m_request.route->kind) || m_request.route->maxAttempts < 2) {
         return;
     }
     const TargetBalancer &balancer = m_service.balancer;
--- a/src/net/gatewaysession.cpp
+++ b/src/net/gatewaysession.cpp
@@ -199,7 +199,7 @@
     if (!prepared) {
         co_return co_await refuse(request, prepared.error(), Outcome::NotRun);
     }
-    const bool targetsKnown = co_await m_context.needTargets();
+    const bool targetsKnown = co_await m_context.ensureTargets();
     if (!targetsKnown) {
         const Error error { ErrorKind::NotReady, "the list of targets can't be had" };
         co_return co_await refuse(request, error, Outcome::NotRun);
--- a/src/net/gatewaysessiontest.cpp
+++ b/src/net/gatewaysessiontest.cpp
@@ -59,7 +59,7 @@
 
 TEST(GatewaySession, requestReachesATargetUnchangedAndItsAnswerTheCaller)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 3\r\nX-Other: kept\r\nX-Left-Ms: 5000\r\n")
                  + "abc");
@@ -81,7 +81,7 @@
 
 TEST(GatewaySession, chunkedBodyArrivesWholeAtTheTarget)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Transfer-Encoding: chunked\r\n")
                  + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
@@ -93,7 +93,7 @@
 
 TEST(GatewaySession, withoutARouteTheAnswerIs404AndNothingIsSent)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("GET", "id-1", "", "/b/1"));
     CHECK_TRUE(contains(caller.readHeader(), " 404 "));
@@ -103,7 +103,7 @@
 // Failure: callers are told that a route doesn't exist though it is configured, and give up for good.
 TEST(GatewaySession, withoutAConfigurationTheAnswerIs503)
 {
-    TestGateway gateway({}, RouteKind::Once);
+    TestGateway gateway({}, RouteKind::NonIdempotent);
     gateway.routes = nullptr;
     gateway.start();
     Peer caller = gateway.caller();
@@ -141,7 +141,7 @@
 // Failure: a booking is made twice.
 TEST(GatewaySession, requestThatRunsOnceIsNotSentAgainAfterAReset)
 {
-    TwoTargets served(RouteKind::Once);
+    TwoTargets served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     const auto [first, second] = firstReached(served.one, served.other);
@@ -154,7 +154,7 @@
 
 TEST(GatewaySession, requestThatRunsOnceIsSentAgainAfterARefusal)
 {
-    TwoTargets served(RouteKind::Once);
+    TwoTargets served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     const auto [first, second] = firstReached(served.one, served.other);
@@ -169,7 +169,7 @@
 // Failure: a caller is told "not run" and repeats a booking that has run.
 TEST(GatewaySession, targetsOwn503IsNotPassedOnAsAPromise)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     Peer atTarget = served.target.accept();
@@ -180,7 +180,7 @@
 
 TEST(GatewaySession, targetsOwnErrorIsPassedOnAsItIs)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     Peer atTarget = served.target.accept();
@@ -193,7 +193,7 @@
 
 TEST(GatewaySession, successWithoutASignatureIsNone)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     Peer atTarget = served.target.accept();
@@ -205,7 +205,7 @@
 // Failure: a caller gets the answer to another caller's request.
 TEST(GatewaySession, lateAnswerToAnEarlierRequestIsDropped)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     Peer atTarget = served.target.accept();
@@ -221,7 +221,7 @@
 
 TEST(GatewaySession, answerCutShortIsAskedForAgainWhereThatIsAllowed)
 {
-    TwoTargets served(RouteKind::LargeAnswer);
+    TwoTargets served(RouteKind::LargeResponse);
     Peer caller = served.start();
     caller.write(TestGateway::request("GET", "id-1"));
     const auto [first, second] = firstReached(served.one, served.other);
@@ -248,7 +248,7 @@
 
 TEST(GatewaySession, answerTooLargeToBeHeldIsPassedOnAsItComes)
 {
-    OneTarget served(RouteKind::LargeAnswer);
+    OneTarget served(RouteKind::LargeResponse);
     served.gateway.context.forward.limits.wholeAnswerBytes = 1'000;
     Peer caller = served.start();
     caller.write(TestGateway::request("GET", "id-1"));
@@ -262,7 +262,7 @@
 // Failure: a caller takes the beginning of a target's error for all of it.
 TEST(GatewaySession, targetsErrorTooLargeToBeHeldIsPassedOnWhole)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     served.gateway.context.forward.limits.wholeAnswerBytes = 1'000;
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
@@ -278,7 +278,7 @@
 // Failure: a caller takes half a download for the whole.
 TEST(GatewaySession, largeAnswerThatBreaksResetsTheCallersConnection)
 {
-    OneTarget served(RouteKind::LargeAnswer);
+    OneTarget served(RouteKind::LargeResponse);
     served.gateway.context.forward.limits.wholeAnswerBytes = 1'000;
     Peer caller = served.start();
     caller.write(TestGateway::request("GET", "id-1"));
@@ -294,7 +294,7 @@
 // Failure: targets go on working for callers that have left.
 TEST(GatewaySession, targetsConnectionIsClosedWhenTheCallerLeaves)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     Peer atTarget = served.target.accept();
@@ -306,7 +306,7 @@
 
 TEST(GatewaySession, drainingProcessEndsConnectionsAfterTheirAnswers)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     served.gateway.context.draining = true;
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
@@ -317,7 +317,7 @@
 
 TEST(GatewaySession, closingProcessRefusesWithoutSendingAnything)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     served.gateway.context.draining = true;
     served.gateway.context.closing = true;
     Peer caller = served.start();
@@ -328,7 +328,7 @@
 
 TEST(GatewaySession, requestSmugglingIsRefused)
 {
-    OneTarget served(RouteKind::Once);
+    OneTarget served(RouteKind::NonIdempotent);
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n")
                  + "0\r\n\r\n");
@@ -338,7 +338,7 @@
 
 TEST(GatewaySession, routesTimeoutEndsARequestThatMayHaveRunWith504)
 {
-    OneTarget served(RouteKind::Once, Millis(60));
+    OneTarget served(RouteKind::NonIdempotent, Millis(60));
     Peer caller = served.start();
     caller.write(TestGateway::request("POST", "id-1", "Content-Length: 0\r\n"));
     Peer atTarget = served.target.accept();
@@ -349,7 +349,7 @@
 // Failure: the log says of a target that was silent that it began an answer with status 200.
 TEST(GatewaySession, silentTargetIsLoggedWithoutAStatus)
 {
-    OneTarget served(RouteKind::Once, Millis(60));
+    OneTarget served(RouteKind::NonIdempotent, Millis(60));
     std::string status;
     served.gateway.context.forward.events = [&status](Event event, std::initializer_list<EventField> fields) {
         for (const EventField &field : fields) {
@@ -370,7 +370,7 @@
 {
     ScriptedTarget refusing;
     ScriptedTarget other;
-    TestGateway gateway({ refusing.port(), other.port() }, RouteKind::Once);
+    TestGateway gateway({ refusing.port(), other.port() }, RouteKind::NonIdempotent);
     refusing.close();
     gateway.start();
     Peer caller = gateway.caller();
--- a/src/net/gatewaytesthelp.h
+++ b/src/net/gatewaytesthelp.h
@@ -68,7 +68,7 @@
             routes = routesOnTheirWay;
             co_return;
         };
-        context.needTargets = []() -> DataAwaitable<bool> {
+        context.ensureTargets = []() -> DataAwaitable<bool> {
             co_return true;
         };
         m_server = std::make_unique<GatewayServer>(context, Endpoint { HostNumber, 0 });
@@ -134,7 +134,7 @@
         route.kind = kind;
         route.timeout = timeout;
         route.targetLatency = timeout;
-        route.mostAttempts = 2;
+        route.maxAttempts = 2;
         route.services = { { ServiceName("s"), 1 } };
         RouteTable table;
         table.version = 1;
--- a/src/net/httpmessage.cpp
+++ b/src/net/httpmessage.cpp
@@ -139,10 +139,10 @@
     return header;
 }
 
-AnswerHeader answerHeader(const ResponseParser &parser, bool headRequest)
+ResponseSummary answerHeader(const ResponseParser &parser, bool headRequest)
 {
     const auto &message = parser.get();
-    AnswerHeader answer;
+    ResponseSummary answer;
     answer.body.status = static_cast<int>(message.result_int());
     answer.body.etag = std::string(fieldValue(message, "ETag"));
     answer.body.contentRange = std::string(fieldValue(message, "Content-Range"));
@@ -176,7 +176,7 @@
     return static_cast<std::uint32_t>(*load);
 }
 
-CallerFraming callerFraming(const AnswerHeader &answer, int minorVersion)
+CallerFraming callerFraming(const ResponseSummary &answer, int minorVersion)
 {
     switch (answer.body.framing) {
     case BodyFraming::None:
--- a/src/net/memberservice.cpp
+++ b/src/net/memberservice.cpp
@@ -45,7 +45,7 @@
     awaitable<void> tickUntilStopped(std::shared_ptr<Private> keepAlive);
     awaitable<void> exchangeWith(std::shared_ptr<Private> keepAlive, Endpoint peer);
     void receive(const PeerSender &sender, std::string_view payload);
-    Result<std::string> answerExchange(std::string_view payload);
+    Result<std::string> respondToExchange(std::string_view payload);
     void tick();
     void sendAll(const std::vector<OutgoingMessage> &messages);
     void logEvents();
@@ -125,7 +125,7 @@
     noteMet(now);
 }
 
-Result<std::string> MemberService::Private::answerExchange(std::string_view payload)
+Result<std::string> MemberService::Private::respondToExchange(std::string_view payload)
 {
     if (!membership) {
         return failure(ErrorKind::NotReady, "not started");
@@ -135,7 +135,7 @@
         return tl::unexpected(request.error());
     }
     const Instant now = clockNow();
-    std::string answer = encode(membership->answerExchange(*request, now));
+    std::string answer = encode(membership->respondToExchange(*request, now));
     logEvents();
     noteMet(now);
     return answer;
@@ -216,7 +216,7 @@
     });
     transport.onCall(PeerKind::Membership, [weak](const PeerSender &, std::string_view payload) -> Result<std::string> {
         const auto service = weak.lock();
-        return service ? service->answerExchange(payload) : failure(ErrorKind::NotReady, "stopped");
+        return service ? service->respondToExchange(payload) : failure(ErrorKind::NotReady, "stopped");
     });
 }
 
--- a/src/net/membershipcodec.cpp
+++ b/src/net/membershipcodec.cpp
@@ -128,7 +128,7 @@
 void save(Archive &archive, const MembershipMessage &message)
 {
     archive(static_cast<std::uint8_t>(message.kind), message.number, message.subject, message.origin);
-    archive(message.heardOrigin);
+    archive(message.receivedFromOrigin);
     saveEndpoint(archive, message.subjectPeer);
     archive(message.sender, message.liveCount);
     save(archive, message.updates);
@@ -139,7 +139,7 @@
 {
     std::uint8_t kind = 0;
     archive(kind, message.number, message.subject, message.origin);
-    archive(message.heardOrigin);
+    archive(message.receivedFromOrigin);
     message.kind = static_cast<MembershipKind>(kind);
     message.subjectPeer = loadEndpoint(archive);
     archive(message.sender, message.liveCount);
--- a/src/net/pathtesthelp.h
+++ b/src/net/pathtesthelp.h
@@ -215,7 +215,7 @@
                        CallerLimits limits = {},
                        Incarnation incarnation = 1)
         : state(new ServiceState(ServiceName("s"), PeerId { VmName("vm"), incarnation }, FailureDomain("fd"), 1, {}))
-        , once(incarnation, std::chrono::steady_clock::now(), OnceSettings {}, [this](Incarnation other) {
+        , once(incarnation, std::chrono::steady_clock::now(), AtMostOnceSettings {}, [this](Incarnation other) {
             return context.memberAddress(other).has_value();
         })
     {
--- a/src/net/shareexchange.cpp
+++ b/src/net/shareexchange.cpp
@@ -13,17 +13,17 @@
 {
 
 template<typename Archive>
-void save(Archive &archive, const PeerHeard &heard)
+void save(Archive &archive, const PeerStatus &peerStatus)
 {
-    archive(heard.vm.value(), heard.incarnation, heard.sequence, heard.silent);
+    archive(peerStatus.vm.value(), peerStatus.incarnation, peerStatus.sequence, peerStatus.unresponsive);
 }
 
 template<typename Archive>
-void load(Archive &archive, PeerHeard &heard)
+void load(Archive &archive, PeerStatus &peerStatus)
 {
     std::string vm;
-    archive(vm, heard.incarnation, heard.sequence, heard.silent);
-    heard.vm = VmName(std::move(vm));
+    archive(vm, peerStatus.incarnation, peerStatus.sequence, peerStatus.unresponsive);
+    peerStatus.vm = VmName(std::move(vm));
 }
 
 template<typename Archive>
@@ -50,7 +50,7 @@
             report.claimsEvenParts,
             report.membersDigest,
             report.memberCount,
-            report.heard,
+            report.peerStatus,
             report.accounts);
 }
 
