--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -132,7 +132,7 @@
     {
         const std::string record = encodeEdit({ EditId(numbered("edit-", m_edits++)), std::move(changes) });
         const auto position = m_config.position();
-        const auto outcomes = m_config.learn({ position.applied, position.last, { record } });
+        const auto outcomes = m_config.applyUpdate({ position.applied, position.last, { record } });
         if (!outcomes || outcomes->front().status != EditStatus::Accepted) {
             std::cerr << "edit refused\n";
             std::exit(1);
--- a/bench/carrierreports.cpp
+++ b/bench/carrierreports.cpp
@@ -136,13 +136,13 @@
                 m_nextRequest++,
                 admission,
                 [] {
-                    return WaiterPtr(new Waiter([](const Admitted &) {}));
+                    return WaiterPtr(new Waiter([](const AdmissionResult &) {}));
                 },
                 m_now,
                 others);
             deliverAll(std::move(others));
             if (admitted && *admitted) {
-                Finished finished;
+                FinishedAttempt finished;
                 finished.latency = Millis(4);
                 finished.slotTime = Millis(4);
                 deliverAll(m_state->finish(**admitted, finished, m_now));
--- a/include/mulberryplank/base/errorkind.h
+++ b/include/mulberryplank/base/errorkind.h
@@ -12,16 +12,16 @@
 
 // What a caller may conclude about its request.
 enum class Outcome : std::uint8_t {
-    Answered, // the target's whole answer was passed on
-    NotRun, // no byte of the request reached a target, or the target itself said that it did not run it
+    Answered, // the target's complete response was forwarded
+    NotRun, // no byte of the request reached a target, or the target reported that it did not run it
     Unknown, // the request may or may not have run
 };
 
-// Returns the name of `outcome` as it stands in answers and logs.
+// Returns the name of `outcome` as used in responses and logs.
 std::string_view toString(Outcome outcome);
 
-// Every way in which mulberryplank refuses or fails. The list is closed: each kind has one row in the table behind
-// errorAnswer(), and docs/CALLERS.md prints that table.
+// All kinds of errors. The list is closed: each kind has one row in the table that errorInfo() reads, and
+// docs/CALLERS.md prints that table.
 enum class ErrorKind : std::uint8_t {
     // The caller's request.
     BadRequest,
@@ -42,7 +42,7 @@
     QueueFull,
     DeadlineBeforeStart,
     NoTarget,
-    // The target side.
+    // Targets.
     ConnectFailed,
     TargetShed,
     TargetTimeout,
@@ -51,7 +51,7 @@
     TargetMismatch,
     TargetError,
     Cancelled,
-    // Repeats of a request that isn't idempotent.
+    // Repeats of a non-idempotent request.
     RepeatInProgress,
     RepeatUnknown,
     // The fleet and the platform.
@@ -66,8 +66,8 @@
     Internal,
 };
 
-// How an ErrorKind is answered to a caller.
-struct ErrorAnswer {
+// How an ErrorKind is reported to a caller.
+struct ErrorInfo {
     ErrorKind kind;
     std::string_view name; // machine-readable, stable across versions
     int status; // HTTP status
@@ -77,7 +77,7 @@
 };
 
 // Returns the row of the table for `kind`. Every kind has one.
-const ErrorAnswer &errorAnswer(ErrorKind kind);
+const ErrorInfo &errorInfo(ErrorKind kind);
 
 // Returns the machine-readable name of `kind`.
 std::string_view toString(ErrorKind kind);
@@ -85,7 +85,7 @@
 // Returns the kind with that name, or nothing.
 std::optional<ErrorKind> errorKindFromString(std::string_view name);
 
-// A failure together with where and why it arose, for people.
+// An error. `detail` says where and why it occurred, for people.
 struct Error {
     ErrorKind kind = ErrorKind::Internal;
     std::string detail;
@@ -94,7 +94,7 @@
 template<typename T>
 using Result = tl::expected<T, Error>;
 
-// Returns an error to be returned where a Result is expected.
+// Returns an error that converts to any Result.
 tl::unexpected<Error> failure(ErrorKind kind, std::string detail);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/base/event.h
+++ b/include/mulberryplank/base/event.h
@@ -18,7 +18,7 @@
     Error,
 };
 
-// One numbered event. The number never changes its meaning; docs/EVENTS.md is the catalogue.
+// A numbered log event. The meaning of a number never changes; docs/EVENTS.md is the catalogue.
 // 1xx process, 2xx configuration, 3xx membership and placement, 4xx requests, 5xx health, 6xx fairness and limits,
 // 7xx platform, 8xx security.
 enum class Event : std::uint16_t {
@@ -73,7 +73,7 @@
     FleetKeyChanged = 802,
 };
 
-// What the catalogue says of one event.
+// The catalogue's entry for one event.
 struct EventInfo {
     Event event;
     std::string_view name;
@@ -86,7 +86,7 @@
 // Returns the whole catalogue in order of number.
 const std::vector<EventInfo> &eventCatalogue();
 
-// One key=value pair of a log line. Secrets are never put into one.
+// One key=value pair of a log line. Must not contain a secret.
 struct EventField {
     std::string_view key;
     std::string value;
@@ -105,7 +105,7 @@
     }
 };
 
-// Where events go. May be called from any thread.
+// Records an event. May be called from any thread.
 using EventSink = std::function<void(Event, std::initializer_list<EventField>)>;
 
 } // namespace mulberryplank
--- a/include/mulberryplank/base/eventfields.h
+++ b/include/mulberryplank/base/eventfields.h
@@ -8,8 +8,8 @@
 namespace mulberryplank
 {
 
-// Returns the keys of the fields that a line of `event` may carry, in the catalogue's order. The list is closed: what
-// isn't on it never reaches a log.
+// Returns the keys of the fields that a log line of `event` may contain, in the catalogue's order. The list is closed:
+// fields with other keys are never logged.
 const std::vector<std::string_view> &eventFields(Event event);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/base/eventthrottle.h
+++ b/include/mulberryplank/base/eventthrottle.h
@@ -8,8 +8,8 @@
 namespace mulberryplank
 {
 
-// Keeps a flood of failures from becoming a flood of log lines: lets one through in each interval and counts the
-// others. Not synchronized.
+// Limits the number of log lines during a series of failures: passes one event per interval and counts the suppressed
+// ones. Thread-compatible.
 class EventThrottle
 {
 public:
@@ -18,23 +18,23 @@
     {
     }
 
-    // Returns how many were kept back since the last one that went through, or nothing if this one is kept back.
+    // Returns the number of events suppressed since the last one that passed, or nothing if this event is suppressed.
     std::optional<std::uint64_t> pass(Instant now)
     {
         if (m_last != Instant {} && now - m_last < m_interval) {
-            ++m_keptBack;
+            ++m_suppressed;
             return std::nullopt;
         }
         m_last = now;
-        const std::uint64_t keptBack = m_keptBack;
-        m_keptBack = 0;
-        return keptBack;
+        const std::uint64_t suppressed = m_suppressed;
+        m_suppressed = 0;
+        return suppressed;
     }
 
 private:
     const Duration m_interval;
     Instant m_last {};
-    std::uint64_t m_keptBack = 0;
+    std::uint64_t m_suppressed = 0;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/base/metricstext.h
+++ b/include/mulberryplank/base/metricstext.h
@@ -22,13 +22,14 @@
     // Begins the family `name`; `type` is counter, gauge or histogram. Its samples follow.
     void family(std::string_view name, std::string_view type, std::string_view help);
 
-    // Adds a sample of the current family. `suffix` is what histograms add to the family's name, such as "_bucket".
+    // Adds a sample of the current family. `suffix` is appended to the family's name, as histograms require, such as
+    // "_bucket".
     void sample(double value, const std::vector<MetricLabel> &labels = {}, std::string_view suffix = {});
 
     // Adds a family that has one sample.
     void single(std::string_view name, std::string_view type, std::string_view help, double value);
 
-    // Returns what was written so far.
+    // Returns the text written so far.
     std::string text() const;
 
 private:
--- a/include/mulberryplank/base/name.h
+++ b/include/mulberryplank/base/name.h
@@ -8,8 +8,8 @@
 namespace mulberryplank
 {
 
-// A name of one kind of thing. Names of different kinds don't convert into one another, so that an account can't be
-// passed where a service is expected.
+// A strongly typed name. Names with different tags don't convert into each other, so an account can't be passed where a
+// service is expected.
 template<typename Tag>
 class Name
 {
@@ -26,7 +26,7 @@
         return m_value;
     }
 
-    // Returns true if no name was given.
+    // Returns true if no name is set.
     bool empty() const
     {
         return m_value.empty();
--- a/include/mulberryplank/base/time.h
+++ b/include/mulberryplank/base/time.h
@@ -5,8 +5,8 @@
 namespace mulberryplank
 {
 
-// A point on the monotonic clock. Decisions receive it as an argument and never read a clock themselves, so that
-// tests and measurements can pass any time they like.
+// A point on the monotonic clock. Decision logic receives it as an argument and never reads a clock, so tests and
+// benchmarks can pass any time.
 using Instant = std::chrono::steady_clock::time_point;
 
 // A span of time in nanoseconds, the resolution of Instant.
--- a/include/mulberryplank/base/timerwheel.h
+++ b/include/mulberryplank/base/timerwheel.h
@@ -11,7 +11,7 @@
 namespace mulberryplank
 {
 
-// A deadline that a TimerWheel watches. Leaves the wheel by itself when destroyed. Not synchronized.
+// A timer of a TimerWheel. Its destructor removes it from the wheel. Thread-compatible.
 class WheelTimer
 {
 public:
@@ -29,7 +29,7 @@
         return m_hook.is_linked();
     }
 
-    // Takes the deadline back. Does nothing when not armed.
+    // Cancels the timer. Does nothing if it isn't armed.
     void disarm()
     {
         m_hook.unlink();
@@ -44,14 +44,14 @@
     std::function<void()> m_expired;
 };
 
-// Many deadlines at constant cost each. A caller or target connection moves its deadline several times per request; a
-// timer of the event loop costs a heap operation each time, the wheel only relinks a list. Timers expire at the first
-// advance() after their deadline, so the precision is the time between two calls of advance(). Not synchronized: one
-// wheel per thread.
+// A set of timers with constant cost per operation. A connection to a caller or target moves its deadline several times
+// per request. A timer of the event loop costs a heap operation each time, whereas the wheel only relinks a list node.
+// A timer expires at the first advance() after its deadline, so the precision is the interval between two calls of
+// advance(). Thread-compatible: each thread uses its own wheel.
 class TimerWheel
 {
 public:
-    // `resolution` is the width of a slot, which should be about the time between two calls of advance().
+    // `resolution` is the width of a slot. It should be about the interval between two calls of advance().
     TimerWheel(Instant now, Duration resolution);
     TimerWheel(const TimerWheel &) = delete;
     TimerWheel &operator=(const TimerWheel &) = delete;
--- a/include/mulberryplank/net/callercontext.h
+++ b/include/mulberryplank/net/callercontext.h
@@ -10,8 +10,8 @@
 #include "mulberryplank/policy/configmodel.h"
 #include "mulberryplank/policy/member.h"
 #include "mulberryplank/state/accountconnections.h"
+#include "mulberryplank/state/atmostoncestate.h"
 #include "mulberryplank/state/configstate.h"
-#include "mulberryplank/state/oncestate.h"
 #include "mulberryplank/state/servicestate.h"
 
 namespace mulberryplank
@@ -59,7 +59,7 @@
     Incarnation incarnation = 0;
     CallerLimits limits;
     EventSink events;
-    OnceState *once = nullptr;
+    AtMostOnceState *once = nullptr;
 
     // Returns the digest of the account's secret, or nothing when there is no such account.
     std::function<std::optional<SecretDigest>(const AccountName &)> accountDigest;
@@ -71,7 +71,7 @@
     std::function<std::optional<Endpoint>(Incarnation)> memberAddress;
     // Called once per answered request, with the time from its arrival to the answer's last byte and how long of that
     // the targets took.
-    std::function<void(Duration total, Duration atTarget)> noteLatency;
+    std::function<void(Duration total, Duration atTarget)> recordLatency;
 
     std::atomic<bool> ready { false }; // false: requests are refused with NotReady
     std::atomic<bool> closing { false }; // true: answers close their connection
--- a/include/mulberryplank/net/exchange.h
+++ b/include/mulberryplank/net/exchange.h
@@ -84,7 +84,7 @@
 
     // exchangeattempt.cpp
     DataAwaitable<void> runAttempt(AttemptPtr attempt, Step step);
-    DataAwaitable<std::optional<Admitted>> admit(AttemptPtr attempt, const Step &step);
+    DataAwaitable<std::optional<AdmissionResult>> admit(AttemptPtr attempt, const Step &step);
     DataAwaitable<bool> connect(AttemptPtr attempt, bool fresh);
     DataAwaitable<boost::system::error_code> send(AttemptPtr attempt, const Step &step);
     DataAwaitable<boost::system::error_code> sendRestOfBody(AttemptPtr attempt);
--- a/include/mulberryplank/state/accountconnections.h
+++ b/include/mulberryplank/state/accountconnections.h
@@ -11,8 +11,8 @@
 namespace mulberryplank
 {
 
-// Counts the callers' connections of each account in this process, so that one account can't take all of them.
-// Thread-safe; sharded by account, since every connection comes here once.
+// Counts the caller connections of each account in this process, so that one account can't use all of them.
+// Thread-safe. Sharded by account because every connection is counted here.
 class AccountConnections
 {
 public:
@@ -20,20 +20,20 @@
     AccountConnections(const AccountConnections &) = delete;
     AccountConnections &operator=(const AccountConnections &) = delete;
 
-    // Counts one more connection of `account`. Returns false, and counts nothing, when it has `most` already.
-    bool tryAdd(const AccountName &account, std::size_t most)
+    // Adds a connection of `account`. Returns false and adds nothing if the account already has `maxCount` connections.
+    bool tryAdd(const AccountName &account, std::size_t maxCount)
     {
         Shard &shard = shardOf(account);
         const std::lock_guard lock(shard.mutex);
         std::size_t &count = shard.counts[account];
-        if (count >= most) {
+        if (count >= maxCount) {
             return false;
         }
         ++count;
         return true;
     }
 
-    // Takes one connection off. To be called once for each tryAdd() that returned true.
+    // Removes a connection. Must be called once for each tryAdd() that returned true.
     void remove(const AccountName &account)
     {
         Shard &shard = shardOf(account);
@@ -44,7 +44,7 @@
         }
     }
 
-    // Returns the connections of `account`.
+    // Returns the number of connections of `account`.
     std::size_t count(const AccountName &account) const
     {
         const Shard &shard = m_shards[std::hash<AccountName> {}(account) % ShardCount];
--- a/include/mulberryplank/state/oncestate.h
+++ b/include/mulberryplank/state/atmostoncestate.h
@@ -7,19 +7,22 @@
 namespace mulberryplank
 {
 
-// The process's AtMostOnceRegistry under its lock. One shard is enough: only requests that carry an Idempotency-Key
-// come here, and each holds the lock for a look-up.
-class OnceState
+// The process's AtMostOnceRegistry with a lock. Thread-safe. One shard is enough: only requests with an Idempotency-Key
+// use it, and each holds the lock for one lookup.
+class AtMostOnceState
 {
 public:
-    OnceState(Incarnation self, Instant started, AtMostOnceSettings settings, std::function<bool(Incarnation)> isMember)
+    AtMostOnceState(Incarnation self,
+                    Instant started,
+                    AtMostOnceSettings settings,
+                    std::function<bool(Incarnation)> isMember)
         : m_registry(self, started, settings, std::move(isMember))
     {
     }
-    OnceState(const OnceState &) = delete;
-    OnceState &operator=(const OnceState &) = delete;
+    AtMostOnceState(const AtMostOnceState &) = delete;
+    AtMostOnceState &operator=(const AtMostOnceState &) = delete;
 
-    // Each does what the function of the same name in AtMostOnceRegistry does.
+    // These functions call those of the same name in AtMostOnceRegistry.
     IdempotencyToken token(Instant now) const
     {
         const std::lock_guard lock(m_mutex);
@@ -37,10 +40,10 @@
         return m_registry.begin(account, service, key, fingerprint, now, source);
     }
 
-    void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse answer)
+    void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse response)
     {
         const std::lock_guard lock(m_mutex);
-        m_registry.finishWithResponse(account, key, std::move(answer));
+        m_registry.finishWithResponse(account, key, std::move(response));
     }
 
     void finishFailed(const AccountName &account, std::string_view key, Outcome outcome)
--- a/include/mulberryplank/state/configstate.h
+++ b/include/mulberryplank/state/configstate.h
@@ -19,7 +19,7 @@
 namespace mulberryplank
 {
 
-// What a request to a service needs of the configuration. Never changes; an edit makes a new one.
+// The part of the configuration that requests to a service need. Immutable; an edit creates a new view.
 struct ServiceView : boost::intrusive_ref_counter<ServiceView, boost::thread_safe_counter> {
     struct AccountRow {
         Row row;
@@ -33,43 +33,43 @@
 
 using ServiceViewPtr = boost::intrusive_ptr<const ServiceView>;
 
-// The configuration in force in this process. Only moves forward: whatever is older than what was applied, or comes
-// from another log, changes nothing. Thread-safe. Requests take one short lock of a shard; edits build the new views
-// before they swap them in.
+// The configuration in force in this process. It only moves forward: an update that is older than the applied records,
+// or that comes from another log, changes nothing. Thread-safe. A request briefly locks one shard; an edit builds the
+// new views before it swaps them in.
 class ConfigState
 {
 public:
-    // `tailBytes` bounds the memory for the last records, which are kept for peers.
+    // `tailBytes` is the maximum memory for the latest records, which are kept to send them to peers.
     explicit ConfigState(std::size_t tailBytes = 1'048'576);
     ConfigState(const ConfigState &) = delete;
     ConfigState &operator=(const ConfigState &) = delete;
 
     // Commands.
 
-    // Applies those of the records that are new and returns their outcomes. Errors: NotReady when records before them
-    // are missing; Conflict when they come from another log than what was applied.
-    Result<std::vector<EditOutcome>> learn(const ConfigUpdate &news);
+    // Applies the records that are new and returns their outcomes. Errors: NotReady if earlier records are missing;
+    // Conflict if the records come from another log than the applied ones.
+    Result<std::vector<EditOutcome>> applyUpdate(const ConfigUpdate &update);
 
-    // Takes over a table from a snapshot. Conflict unless it is newer than what was applied, or when it comes from
-    // another log.
+    // Replaces the table with one from a snapshot. Errors: Conflict unless the table is newer than the applied records,
+    // or if it comes from another log.
     Result<void> load(ConfigTable table);
 
-    // Gives up the memory of a service's view, which is built again when it is asked for. Who holds the view keeps it.
+    // Frees the memory of a service's view; service() builds it again on request. Holders of the view keep it.
     void releaseView(const ServiceName &name);
 
     // Queries.
 
-    // Returns the service's view, or nullptr when there is no such service. Keeps it up to date from then on, at some
-    // 239 bytes a row, until releaseView(): for services that are served here, not for all.
+    // Returns the service's view, or nullptr if the service doesn't exist. The view is kept up to date until
+    // releaseView() and takes about 239 bytes per row, so call this only for services that this process serves.
     ServiceViewPtr service(const ServiceName &name) const;
 
-    // Returns the digest of the account's secret, or nothing when there is no such account.
+    // Returns the digest of the account's secret, or nothing if the account doesn't exist.
     std::optional<SecretDigest> accountDigest(const AccountName &name) const;
 
     // Returns ConfigTable::nextOffset() of the table in force.
     Offset applied() const;
 
-    // Returns an applied offset and its record's digest that belong together.
+    // Returns the offset after the last applied record and that record's digest, read under one lock.
     struct Position {
         Offset applied = 0;
         RecordDigest last {};
@@ -78,17 +78,17 @@
 
     std::optional<EditOutcome> outcomeOf(const EditId &id) const;
 
-    // Returns the records from `from` on, or nothing when they aren't kept any more or there are none yet.
-    std::optional<ConfigUpdate> newsSince(Offset from) const;
+    // Returns the records from `from` on, or nothing if they are no longer kept or don't exist yet.
+    std::optional<ConfigUpdate> updateSince(Offset from) const;
 
-    // Returns the services that edits from `from` on may have changed, each once, or nothing when that isn't known any
-    // more: then it may be any.
-    std::optional<std::vector<ServiceName>> touchedSince(Offset from) const;
+    // Returns the services that edits from `from` on may have changed, each once. Returns nothing if that is no longer
+    // known; then any service may have changed.
+    std::optional<std::vector<ServiceName>> servicesChangedSince(Offset from) const;
 
     // Returns the number of views kept.
     std::size_t viewCount() const;
 
-    // Calls `reader` with the table in force. Edits wait until it returns; requests don't.
+    // Calls `reader` with the table in force. Edits are blocked until it returns; requests aren't.
     void read(const std::function<void(const ConfigTable &)> &reader) const;
 
 private:
@@ -102,25 +102,25 @@
     EditOutcome applyOne(Offset offset, const std::string &record);
     ServiceViewPtr buildView(const ServiceName &name) const;
     void rebuildView(const ServiceName &name);
-    std::vector<ServiceName> touchedBy(const std::string &record) const;
+    std::vector<ServiceName> servicesChangedBy(const std::string &record) const;
     Shard &shardOf(const ServiceName &name) const;
 
     // A service that the accepted edit at `offset` may have changed.
-    struct Touch {
+    struct ServiceChange {
         Offset offset = 0;
         ServiceName service;
     };
 
-    static constexpr std::size_t RememberedTouches = 4'096;
+    static constexpr std::size_t MaxServiceChanges = 4'096;
 
-    // Guards the table, the tail and the touches. Taken before a shard's mutex, never after it.
+    // Guards the table, the tail and the service changes. Must be locked before a shard's mutex, never after it.
     mutable std::shared_mutex m_tableMutex;
     ConfigTable m_table;
     RecordTail m_tail;
-    std::deque<Touch> m_touches; // complete from m_touchesFrom on
-    Offset m_touchesFrom = 0;
+    std::deque<ServiceChange> m_serviceChanges; // complete from m_serviceChangesFrom on
+    Offset m_serviceChangesFrom = 0;
 
-    // Views of the services that were asked for.
+    // Views of the services that were requested.
     mutable std::array<Shard, ShardCount> m_shards;
 };
 
--- a/include/mulberryplank/state/gatewaymetrics.h
+++ b/include/mulberryplank/state/gatewaymetrics.h
@@ -15,15 +15,15 @@
 namespace mulberryplank
 {
 
-// How many values a label may take. Names come from configurations and targets come and go, so without a bound the
-// metrics of a long-lived process would grow for ever. What comes beyond is counted under the name "other". Both bounds
-// lie above what one process meets: 58,000 targets are spread over a hundred services and more.
+// Maximum numbers of label values. Names come from configurations and targets are replaced over time, so without a
+// bound the metrics of a long-running process would grow indefinitely. Further values are counted under the name
+// "other". Both bounds exceed what one process sees: 58,000 targets are spread over a hundred or more services.
 struct MetricBounds {
     std::size_t routes = 256;
     std::size_t targets = 1'024;
 };
 
-// A gateway's labelled counters and its latencies. Not synchronized.
+// A gateway's labelled counters and its latencies. Thread-compatible.
 class GatewayMetrics
 {
 public:
@@ -36,12 +36,12 @@
     GatewayMetrics(const GatewayMetrics &) = delete;
     GatewayMetrics &operator=(const GatewayMetrics &) = delete;
 
-    // A request has ended after `latency`, with an error of ours or, without one, with a target's answer. An empty
-    // route: none was found.
-    void noteRequest(const std::string &route, Outcome outcome, std::optional<ErrorKind> error, Duration latency);
+    // Records a request that ended after `latency`, with an error of the gateway or, without one, with a target's
+    // response. An empty `route` means that no route was found.
+    void recordRequest(const std::string &route, Outcome outcome, std::optional<ErrorKind> error, Duration latency);
 
-    // An attempt has ended after `latency`.
-    void noteAttempt(const ServiceName &service, const TargetName &target, AttemptResult result, Duration latency);
+    // Records an attempt that ended after `latency`.
+    void recordAttempt(const ServiceName &service, const TargetName &target, AttemptResult result, Duration latency);
 
     // Writes the families requests_total, request_seconds, attempts_total and attempt_seconds.
     void write(MetricsText &metrics) const;
@@ -52,10 +52,10 @@
 
     const MetricBounds m_bounds;
     std::map<RequestKey, std::uint64_t> m_requests;
-    std::map<std::string, LatencySeries> m_latencies; // by route; holds every route's name
+    std::map<std::string, LatencySeries> m_latencies; // by route; its keys are the known route names
     std::map<AttemptKey, std::uint64_t> m_attempts;
     std::map<std::string, LatencySeries> m_attemptLatencies; // by service
-    std::set<std::string> m_targets; // every target that has a name of its own
+    std::set<std::string> m_targets; // targets that are counted under their own name
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/state/grant.h
+++ b/include/mulberryplank/state/grant.h
@@ -14,10 +14,10 @@
 namespace mulberryplank
 {
 
-// Names one attempt of a request within one process.
+// Identifies one attempt of a request within a process.
 using RequestId = std::uint64_t;
 
-// Leave to send one attempt of a request to a target. Every grant is given back with ServiceState::finish().
+// Permission to send one attempt of a request to a target. Every grant must be returned with ServiceState::finish().
 struct Grant {
     RequestId request = 0;
     TargetIndex target = 0;
@@ -25,58 +25,58 @@
     Endpoint endpoint;
 };
 
-// What an attempt asks of its service.
+// The parameters of an attempt that needs a grant.
 struct Admission {
     AccountName account;
     std::uint16_t route = NoRoute;
     bool idempotent = false;
     Instant deadline {};
-    std::vector<TargetIndex> excluded; // not to be chosen
-    bool extra = false; // a retry, hedge or resume: counts as slot-time, not as another request of the rate
-    std::optional<TargetIndex> only; // the one to be chosen, if it is still there
+    std::vector<TargetIndex> excluded; // must not be chosen
+    bool extra = false; // a retry, hedge or resume: charged as slot time, not counted against the request rate
+    std::optional<TargetIndex> only; // must be chosen if it still exists
 };
 
-// Why an attempt was not let through, and when to come again.
+// Why an attempt was rejected, and when to retry.
 struct Refusal {
     ErrorKind kind = ErrorKind::Internal;
     int retryAfterSeconds = 0;
 };
 
-using Admitted = tl::expected<Grant, Refusal>;
+using AdmissionResult = tl::expected<Grant, Refusal>;
 
-// An attempt in a service's queue. deliver() is called once, from any thread and without locks held, when the attempt
-// may start or has been refused.
+// An attempt in a service's queue. deliver() is called once, when the attempt may start or is rejected. The call may
+// come from any thread; no locks are held.
 class Waiter : public boost::intrusive_ref_counter<Waiter>
 {
 public:
-    explicit Waiter(std::function<void(Admitted)> deliver)
+    explicit Waiter(std::function<void(AdmissionResult)> deliver)
         : m_deliver(std::move(deliver))
     {
     }
     Waiter(const Waiter &) = delete;
     Waiter &operator=(const Waiter &) = delete;
 
-    void deliver(Admitted admitted)
+    void deliver(AdmissionResult admitted)
     {
         m_deliver(std::move(admitted));
     }
 
 private:
-    std::function<void(Admitted)> m_deliver;
+    std::function<void(AdmissionResult)> m_deliver;
 };
 
 using WaiterPtr = boost::intrusive_ptr<Waiter>;
 
-// A result on its way to the waiter it is for. Commands return these, so that they are handed over after the lock has
-// been released.
+// A result and the waiter that receives it. Commands return deliveries so that results are handed over after the lock
+// is released.
 struct Delivery {
     WaiterPtr waiter;
-    Admitted admitted;
+    AdmissionResult admitted;
 };
 
 using Deliveries = std::vector<Delivery>;
 
-// Hands all deliveries over. To be called without locks held.
+// Hands over all deliveries. Must be called without locks held.
 void deliverAll(Deliveries deliveries);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/state/latencyseries.h
+++ b/include/mulberryplank/state/latencyseries.h
@@ -8,16 +8,16 @@
 namespace mulberryplank
 {
 
-// A histogram of times for the metrics, from 10 microseconds to 100 seconds. Not synchronized.
+// A histogram of durations for the metrics, from 10 microseconds to 100 seconds. Thread-compatible.
 class LatencySeries
 {
 public:
     LatencySeries();
 
-    // Counts one time.
-    void note(Duration span);
+    // Adds one duration.
+    void record(Duration span);
 
-    // Adds all that `other` has counted.
+    // Adds the counts of `other`.
     LatencySeries &operator+=(const LatencySeries &other);
 
     // Writes the buckets, sum and count as samples of the metrics' current family.
--- a/include/mulberryplank/state/requestmetrics.h
+++ b/include/mulberryplank/state/requestmetrics.h
@@ -8,7 +8,7 @@
 namespace mulberryplank
 {
 
-// Latencies of answered requests, in shards, so that workers don't wait for one another.
+// Latencies of requests that received a response. Thread-safe. Sharded so that workers don't wait for each other.
 class RequestMetrics
 {
 public:
@@ -16,11 +16,11 @@
     RequestMetrics(const RequestMetrics &) = delete;
     RequestMetrics &operator=(const RequestMetrics &) = delete;
 
-    // Records one answered request: its whole time here, and the part of it that targets took.
-    void note(Duration total, Duration atTarget);
+    // Records a request that received a response: its total time in this process, and the part of it spent at targets.
+    void record(Duration total, Duration atTarget);
 
-    // Writes the histograms mulberryplank_request_seconds and mulberryplank_added_seconds (the whole time less the
-    // targets' part).
+    // Writes the histograms mulberryplank_request_seconds and mulberryplank_added_seconds (the total time less the time
+    // at targets).
     void write(MetricsText &metrics) const;
 
 private:
--- a/include/mulberryplank/state/serviceregistry.h
+++ b/include/mulberryplank/state/serviceregistry.h
@@ -12,14 +12,14 @@
 namespace mulberryplank
 {
 
-// A service that this process serves, with the configuration that its state was given last.
+// A service that this process serves, with the configuration last passed to its state.
 struct ServedService {
     ServiceStatePtr state;
     ServiceViewPtr config;
 };
 
-// The services that this process serves, in shards, each under its own lock. Requests hold a shard's lock for one
-// look-up.
+// The services that this process serves. Thread-safe. Sharded; each shard has its own lock, which a request holds for
+// one lookup.
 class ServiceRegistry
 {
 public:
@@ -27,16 +27,16 @@
     ServiceRegistry(const ServiceRegistry &) = delete;
     ServiceRegistry &operator=(const ServiceRegistry &) = delete;
 
-    // Adds the service or replaces what is known of it.
+    // Adds the service or replaces its entry.
     void put(const ServiceName &name, ServedService served);
 
-    // Forgets the service. Requests under way keep its state alive.
+    // Removes the service. Requests in progress keep its state alive.
     void remove(const ServiceName &name);
 
-    // Returns the service if it is served here.
+    // Returns the service, or nothing if this process doesn't serve it.
     std::optional<ServedService> find(const ServiceName &name) const;
 
-    // Returns all services, in no order.
+    // Returns all services in unspecified order.
     std::vector<ServedService> all() const;
 
 private:
--- a/include/mulberryplank/state/servicestate.h
+++ b/include/mulberryplank/state/servicestate.h
@@ -27,7 +27,7 @@
 namespace mulberryplank
 {
 
-// One target of a service, for the dump and for probes.
+// The state of one target of a service, for the dump and for probes.
 struct TargetState {
     TargetHealthView health;
     Endpoint endpoint;
@@ -38,7 +38,7 @@
     std::uint64_t failures = 0;
 };
 
-// One account's use of a service, for the dump and for bills.
+// One account's use of a service, for the dump and for billing.
 struct AccountState {
     AccountName account;
     std::uint32_t weight = 0;
@@ -46,7 +46,7 @@
     AccountUsage usage;
 };
 
-// A service as a whole, for the dump.
+// A summary of a service, for the dump.
 struct ServiceSummary {
     ServiceName service;
     std::size_t waiting = 0;
@@ -58,24 +58,24 @@
     std::vector<AccountState> accounts;
 };
 
-// How an attempt ended, as ServiceState::finish() needs it.
-struct Finished {
+// The result of an attempt, as passed to ServiceState::finish().
+struct FinishedAttempt {
     AttemptResult result = AttemptResult::Success;
     std::uint16_t route = NoRoute;
-    Duration latency {}; // until the first byte of the answer, or until it failed
+    Duration latency {}; // until the first byte of the response, or until the failure
     Duration slotTime {}; // how long the target's slot was held
-    int retryAfterSeconds = 0; // of a shed
+    int retryAfterSeconds = 0; // sent with a shed
     std::optional<std::uint32_t> reportedInFlight; // X-Load
     bool targetLeaving = false; // X-Draining
 };
 
-// Everything that one process knows of one service: the queue, the targets and their health, the retry budget. Its own
-// lock guards all of it; no function calls out while holding it. Commands are in servicestatecommands.cpp,
+// The state of one service in this process: the queue, the targets and their health, the retry budget. Thread-safe: one
+// lock guards all of it, and no function calls out while holding it. Commands are in servicestatecommands.cpp,
 // servicestateconfigure.cpp and servicestateexchange.cpp, queries in servicestatequeries.cpp.
 class ServiceState : public boost::intrusive_ref_counter<ServiceState>
 {
 public:
-    // `self` and `ownDomain` are this process; `seed` decides its random choices.
+    // `self` and `ownDomain` identify this process; `seed` seeds its random choices.
     ServiceState(ServiceName name, PeerId self, FailureDomain ownDomain, std::uint64_t seed, EventSink events);
     ~ServiceState();
     ServiceState(const ServiceState &) = delete;
@@ -83,52 +83,53 @@
 
     // Commands.
 
-    // Takes over the configuration. Accounts without a row lose access; their waiting attempts are refused.
+    // Applies the configuration. Accounts without a row lose access; their queued attempts are rejected.
     [[nodiscard]] Deliveries configure(const Service &service,
                                        const std::vector<Target> &targets,
                                        const std::vector<Row> &rows,
                                        Instant now);
 
-    // Lets an attempt through at once, refuses it, or returns nothing and queues it: then `makeWaiter` was called for
-    // the waiter that will be told. `others` are for attempts that got their turn meanwhile.
-    std::optional<Admitted> admit(RequestId request,
-                                  const Admission &admission,
-                                  const std::function<WaiterPtr()> &makeWaiter,
-                                  Instant now,
-                                  Deliveries &others);
+    // Grants an attempt immediately, rejects it, or queues it and returns nothing. If it is queued, `makeWaiter` was
+    // called for the waiter that receives the result. `otherDeliveries` receives results of other attempts that were
+    // decided during the call.
+    std::optional<AdmissionResult> admit(RequestId request,
+                                         const Admission &admission,
+                                         const std::function<WaiterPtr()> &makeWaiter,
+                                         Instant now,
+                                         Deliveries &otherDeliveries);
 
-    // Gives a grant back.
-    [[nodiscard]] Deliveries finish(const Grant &grant, const Finished &finished, Instant now);
+    // Returns a grant.
+    [[nodiscard]] Deliveries finish(const Grant &grant, const FinishedAttempt &finished, Instant now);
 
-    // Takes a queued attempt back. Returns false when it is not queued: granted, refused or unknown.
+    // Removes an attempt from the queue. Returns false if it isn't queued: granted, rejected or unknown.
     bool cancel(RequestId request, Instant now);
 
-    // Moves time on: refuses attempts that can't make their deadline, decides on targets. To be called 10 times a
-    // second.
+    // Advances time: rejects attempts that can't meet their deadline, and updates the health of targets. Must be called
+    // 10 times a second.
     [[nodiscard]] Deliveries tick(Instant now);
 
-    // The retry budget and the latency that hedging goes by.
+    // The retry budget, and the latencies that determine the hedge delay.
     bool spendRetry();
-    void noteAnswered();
-    void noteLatency(std::uint16_t route, Duration latency);
+    void recordResponse();
+    void recordLatency(std::uint16_t route, Duration latency);
 
-    // Marks targets on a VM that is leaving, and unmarks the others.
+    // Marks targets on a VM that is leaving, and unmarks all other targets.
     void setLeavingHosts(const std::vector<std::string> &hosts);
 
-    // The result of a probe.
-    void noteProbe(
+    // Record the result of a probe.
+    void recordProbe(
         TargetIndex target, bool leaving, bool cold, std::optional<std::uint32_t> reportedInFlight, Instant now);
-    void noteProbeFailed(TargetIndex target, Duration latency, Instant now);
+    void recordProbeFailure(TargetIndex target, Duration latency, Instant now);
 
-    // The exchange of evidence with the other proxies that carry the service.
+    // Exchange of evidence with the other proxies that are assigned the service.
     void setPeers(const std::vector<PeerId> &peers, Instant now);
     EvidenceReport evidenceReport(Instant now);
     void mergeEvidence(const PeerId &peer, const EvidenceReport &report, Instant now);
 
-    // The exchange of demand and claims, by which limits hold for the fleet. Returns the report to send to the other
-    // proxies that carry the service, if one is due.
+    // Exchange of demand and claims, which enforces limits across the fleet. The functions that return a report return
+    // the one to send to the other proxies that are assigned the service, if one is due.
     std::optional<DemandReport> demandReport(Instant now);
-    std::optional<DemandReport> leaveShares(Instant now);
+    std::optional<DemandReport> withdrawDemand(Instant now);
     void mergeDemand(const PeerId &peer, const DemandReport &report, Instant now);
 
     // Queries.
@@ -147,24 +148,24 @@
 private:
     struct TargetEntry;
     struct AccountEntry;
-    struct Pending;
+    struct PendingAttempt;
 
     void configureTargets(const std::vector<Target> &targets, Instant now);
     void configureAccounts(const std::vector<Row> &rows);
-    void setMostInFlight();
+    void setMaxInFlight();
     void applyShares(Instant now);
     void configureShares(Instant now);
     bool hasRoom(Instant now) const;
     double slotsInService() const;
     bool hasAllowedTarget(const Admission &admission) const;
     void start(RequestId request, Instant now, Deliveries &deliveries);
-    Admitted grantFor(RequestId request, const Pending &pending, Instant now);
+    AdmissionResult grantFor(RequestId request, const PendingAttempt &pending, Instant now);
     void dispatch(Instant now, Deliveries &deliveries);
     void refuseExpired(Instant now, Deliveries &deliveries);
     void refreshView(std::size_t index, Instant now);
     void refreshViews(Instant now);
-    void noteOutstanding(Instant now);
-    void noteOutcomeOf(const Grant &grant, const Finished &finished, Instant now);
+    void recordOutstanding(Instant now);
+    void recordOutcome(const Grant &grant, const FinishedAttempt &finished, Instant now);
     void logHealthEvents();
     Refusal refusal(ErrorKind kind, AccountIndex account, Instant now) const;
     std::vector<TargetState> targetStates() const;
@@ -178,9 +179,9 @@
     ServiceHealth m_health;
     FairQueue m_queue;
     OverloadControl m_overload;
-    std::optional<FleetShares> m_shares; // from the first configuration on
-    std::vector<VmName> m_carriers; // this process included
-    double m_ownPart = 1; // of the service's slots, while all of them are taken
+    std::optional<FleetShares> m_shares; // set by the first configure()
+    std::vector<VmName> m_assignedProxies; // including this process
+    double m_ownFraction = 1; // of the service's slots; applies while all of them are in use
     Instant m_lastShed {}; // of any target
     RetryBudget m_retryBudget;
     std::mt19937_64 m_random;
@@ -190,8 +191,8 @@
     std::map<TargetIndex, std::size_t> m_positions; // of targets in m_targets
     std::unordered_map<AccountName, AccountEntry> m_accounts;
     AccountIndex m_nextAccount = 0;
-    std::unordered_map<RequestId, Pending> m_pending;
-    std::vector<RequestId> m_parked; // had their turn, and wait for a target that they may go to
+    std::unordered_map<RequestId, PendingAttempt> m_pending;
+    std::vector<RequestId> m_waitingForTarget; // dequeued, but all targets that they may use are busy
     std::map<std::uint16_t, HedgeDelay> m_hedgeDelays;
 };
 
--- a/src/app/adminclient.cpp
+++ b/src/app/adminclient.cpp
@@ -133,7 +133,7 @@
         if (internal::isDecision(last.kind)) {
             return tl::make_unexpected(last);
         }
-        mayHaveArrived = mayHaveArrived || errorAnswer(last.kind).outcome == Outcome::Unknown;
+        mayHaveArrived = mayHaveArrived || errorInfo(last.kind).outcome == Outcome::Unknown;
         if (!internal::isWorthRepeating(last.kind)) {
             break;
         }
@@ -162,7 +162,7 @@
         if (!mayHaveArrived) {
             worst = reply;
         }
-        mayHaveArrived = mayHaveArrived || (!reply && errorAnswer(reply.error().kind).outcome == Outcome::Unknown);
+        mayHaveArrived = mayHaveArrived || (!reply && errorInfo(reply.error().kind).outcome == Outcome::Unknown);
     }
     return worst;
 }
--- a/src/app/carriedservices.cpp
+++ b/src/app/carriedservices.cpp
@@ -85,7 +85,7 @@
 
 void CarriedServices::followConfiguration(Offset applied, Instant now)
 {
-    const auto touched = m_applied ? m_config.touchedSince(*m_applied) : std::nullopt;
+    const auto touched = m_applied ? m_config.servicesChangedSince(*m_applied) : std::nullopt;
     for (const ServiceName &name : touched ? *touched : allServices()) {
         followEdited(name, now);
     }
--- a/src/app/carriedservicestest.cpp
+++ b/src/app/carriedservicestest.cpp
@@ -69,7 +69,7 @@
     {
         const auto position = m_config.position();
         const std::string text = record("e" + std::to_string(++m_edits), std::move(changes));
-        const auto outcomes = m_config.learn({ position.applied, position.last, { text } });
+        const auto outcomes = m_config.applyUpdate({ position.applied, position.last, { text } });
         CHECK_TRUE(outcomes.has_value() && outcomes->front().status == EditStatus::Accepted);
     }
 
@@ -184,9 +184,9 @@
             ConfigState peer;
             const std::size_t end = std::min(edits.size(), next + count);
             const std::vector<std::string> records(edits.begin(), edits.begin() + static_cast<std::ptrdiff_t>(end));
-            RC_ASSERT(peer.learn({ 0, {}, records }).has_value());
+            RC_ASSERT(peer.applyUpdate({ 0, {}, records }).has_value());
             if (*rc::gen::arbitrary<bool>()) {
-                RC_ASSERT(config.learn({ 0, {}, records }).has_value());
+                RC_ASSERT(config.applyUpdate({ 0, {}, records }).has_value());
             } else {
                 peer.read([&config](const ConfigTable &table) {
                     RC_ASSERT(config.load(ConfigTable::fromSnapshot(table.snapshot()).value()).has_value());
--- a/src/app/gatewayjoin.cpp
+++ b/src/app/gatewayjoin.cpp
@@ -56,7 +56,7 @@
         return std::uniform_real_distribution<double>(0, 1)(m_random);
     };
     const std::function<std::string()> makeKey = internal::randomKey;
-    const KeyedStore store = m_store.access();
+    const KeyedStore store = m_store.keyedStore();
     const FleetBootstrap entry = co_await joinFleet(m_worker.context, store, settings, makeKey, spread);
     m_seedsNamed = entry.seeds.size();
     // One that is restarted soon after the first start may be told of that still.
@@ -192,7 +192,7 @@
         m_members->setSeeds(others.peers, others.near);
     };
     m_seeds = std::make_unique<SeedPublisher>(m_worker.context,
-                                              m_store.access(),
+                                              m_store.keyedStore(),
                                               ownSeed(),
                                               m_incarnation,
                                               SeedPublisherSettings {},
--- a/src/app/gatewayprocess.cpp
+++ b/src/app/gatewayprocess.cpp
@@ -151,7 +151,7 @@
         tellNewsChanged({ versionInForce() });
     };
     m_news = std::make_unique<DiscoveryClient>(
-        m_worker.context, m_store.access(), DiscoverySettings {}, std::move(hooks), m_incarnation, m_events);
+        m_worker.context, m_store.keyedStore(), DiscoverySettings {}, std::move(hooks), m_incarnation, m_events);
     m_gateway.routes = [this] {
         return m_news->routes();
     };
--- a/src/app/gatewayqueries.cpp
+++ b/src/app/gatewayqueries.cpp
@@ -61,7 +61,7 @@
     }
     co_return AdminAnswer { internal::StatusOk,
                             "application/json",
-                            platform::encodeLocateAnswer(locate(query.failureDomain)) };
+                            platform::encodeLocateResponse(locate(query.failureDomain)) };
 }
 
 // A gateway that has just started knows nobody, and would send its callers to itself, however weak it is.
--- a/src/app/proxyprocess.cpp
+++ b/src/app/proxyprocess.cpp
@@ -101,8 +101,8 @@
         }
         return std::nullopt;
     };
-    m_callers.noteLatency = [this](Duration total, Duration atTarget) {
-        m_metrics.note(total, atTarget);
+    m_callers.recordLatency = [this](Duration total, Duration atTarget) {
+        m_metrics.record(total, atTarget);
     };
 }
 
--- a/src/app/proxyprocess.h
+++ b/src/app/proxyprocess.h
@@ -93,7 +93,7 @@
     ConfigState m_config;
     ServiceRegistry m_services;
     RequestMetrics m_metrics;
-    OnceState m_once;
+    AtMostOnceState m_once;
     CallerContext m_callers;
     std::vector<std::unique_ptr<Worker>> m_workers;
     std::vector<std::thread> m_threads;
--- a/src/base/errorkindtest.cpp
+++ b/src/base/errorkindtest.cpp
@@ -10,11 +10,11 @@
 {
     for (int index = 0; index <= static_cast<int>(ErrorKind::Internal); ++index) {
         const auto kind = static_cast<ErrorKind>(index);
-        CHECK_TRUE(errorAnswer(kind).kind == kind);
+        CHECK_TRUE(errorInfo(kind).kind == kind);
     }
 }
 
-TEST(ErrorKind, nameLeadsBackToKind)
+TEST(ErrorKind, nameMapsBackToItsKind)
 {
     for (int index = 0; index <= static_cast<int>(ErrorKind::Internal); ++index) {
         const auto kind = static_cast<ErrorKind>(index);
@@ -22,10 +22,10 @@
     }
 }
 
-TEST(ErrorKind, kindThatMayHaveRunIsNeverCalledSafeToRepeatUnlessKeyed)
+TEST(ErrorKind, unkeyedKindThatMayHaveRunIsNeverSafeToRepeat)
 {
     for (int index = 0; index <= static_cast<int>(ErrorKind::Internal); ++index) {
-        const ErrorAnswer &row = errorAnswer(static_cast<ErrorKind>(index));
+        const ErrorInfo &row = errorInfo(static_cast<ErrorKind>(index));
         const bool keyed = row.kind == ErrorKind::RepeatInProgress || row.kind == ErrorKind::PlatformUnavailable;
         CHECK_TRUE(row.outcome != Outcome::Unknown || !row.repeatIsSafe || keyed);
     }
--- a/src/base/eventthrottletest.cpp
+++ b/src/base/eventthrottletest.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(EventThrottle) {};
 
-TEST(EventThrottle, oneGoesThroughInEachIntervalAndTellsOfTheOthers)
+TEST(EventThrottle, passesOnePerIntervalAndReportsTheSuppressedCount)
 {
     EventThrottle throttle(Seconds(1));
     const Instant start { Seconds(100) };
--- a/src/base/metricstext.cpp
+++ b/src/base/metricstext.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Label values come from configurations, which may hold any text.
+// Escapes a label value. Values come from configurations, which may contain any text.
 std::string escapedLabel(const std::string &value)
 {
     std::string escaped;
@@ -26,7 +26,7 @@
     return escaped;
 }
 
-// Counts have to be exact up to here, which the stream's six digits are not.
+// Significant digits of a sample. Counts must be exact up to this number of digits; the stream's default is six.
 constexpr int Digits = 15;
 
 } // namespace
--- a/src/base/metricstexttest.cpp
+++ b/src/base/metricstexttest.cpp
@@ -19,7 +19,7 @@
                  metrics.text().c_str());
 }
 
-TEST(MetricsText, ALabelCantEndItsQuotes)
+TEST(MetricsText, EscapesLabelValues)
 {
     MetricsText metrics;
     metrics.family("x", "gauge", "X.");
@@ -27,7 +27,7 @@
     STRCMP_CONTAINS("{route=\"a\\\"b\\\\c\\nd\"} 1\n", metrics.text().c_str());
 }
 
-// Counters were written with six digits, so one above a million stood still for seconds.
+// Guards against writing counters with six digits: a counter above a million would appear unchanged for seconds.
 TEST(MetricsText, LargeCountsAreExact)
 {
     MetricsText metrics;
--- a/src/base/timerwheel.cpp
+++ b/src/base/timerwheel.cpp
@@ -23,7 +23,7 @@
 void TimerWheel::insert(WheelTimer &timer)
 {
     const std::uint64_t farthest = m_tick + SlotCount - 1;
-    // A deadline beyond the wheel's reach waits in the farthest slot and is put in its place from there.
+    // A deadline beyond the wheel's range is put into the farthest slot and inserted again when that slot is due.
     const std::uint64_t tick = std::clamp(tickOf(timer.m_deadline), m_tick, farthest);
     m_slots[tick % SlotCount].push_back(timer);
 }
@@ -53,7 +53,7 @@
 void TimerWheel::advance(Instant now)
 {
     const std::uint64_t last = tickOf(now);
-    // After a long pause one turn visits every slot; more turns would find nothing new.
+    // After a long interval, one revolution visits every slot; further revolutions would find no more timers.
     const std::uint64_t first = last >= m_tick + SlotCount ? last - SlotCount + 1 : m_tick;
     for (std::uint64_t tick = first; tick <= last; ++tick) {
         m_tick = tick;
--- a/src/base/timerwheeltest.cpp
+++ b/src/base/timerwheeltest.cpp
@@ -34,7 +34,7 @@
     }));
 }
 
-TEST(TimerWheel, expiryMayDestroyAnotherDueTimer)
+TEST(TimerWheel, expiryFunctionMayDestroyAnotherDueTimer)
 {
     const Instant start {};
     TimerWheel wheel(start, Millis(10));
@@ -50,7 +50,7 @@
     CHECK_TRUE(second == nullptr);
 }
 
-TEST(TimerWheel, longPauseExpiresEverythingDue)
+TEST(TimerWheel, advanceAfterALongIntervalExpiresAllDueTimers)
 {
     const Instant start {};
     TimerWheel wheel(start, Millis(10));
--- a/src/net/adminserver.cpp
+++ b/src/net/adminserver.cpp
@@ -41,7 +41,7 @@
 
 AdminAnswer adminError(const Error &error)
 {
-    const ErrorAnswer &row = errorAnswer(error.kind);
+    const ErrorInfo &row = errorInfo(error.kind);
     boost::json::object body;
     body["error"] = boost::json::string_view(row.name.data(), row.name.size());
     body["detail"] = error.detail;
--- a/src/net/callersession.cpp
+++ b/src/net/callersession.cpp
@@ -173,7 +173,7 @@
 DataAwaitable<bool> CallerSession::refuse(const Request &request, const Error &error)
 {
     ++m_context.counters.refused;
-    const ErrorAnswer &row = errorAnswer(error.kind);
+    const ErrorInfo &row = errorInfo(error.kind);
     // Nothing was sent to a target yet, whatever the table must allow for in general.
     co_return co_await answer(
         request, errorAnswerFor(error.kind, Outcome::NotRun, row.retryAfterSeconds, error.detail, request.id));
--- a/src/net/callersessiononce.cpp
+++ b/src/net/callersessiononce.cpp
@@ -25,7 +25,7 @@
 class OnceRun
 {
 public:
-    OnceRun(OnceState &once, const AccountName &account, const std::string &key)
+    OnceRun(AtMostOnceState &once, const AccountName &account, const std::string &key)
         : m_once(once)
         , m_account(account)
         , m_key(key)
@@ -54,7 +54,7 @@
     }
 
 private:
-    OnceState &m_once;
+    AtMostOnceState &m_once;
     const AccountName &m_account;
     const std::string &m_key;
     bool m_finished = false;
--- a/src/net/callersessiononcetest.cpp
+++ b/src/net/callersessiononcetest.cpp
@@ -156,7 +156,7 @@
 // Failure: every repeat is told that the first is under way, until the key is forgotten.
 TEST(CallerSessionOnce, EndsARunThatAnExceptionEnded)
 {
-    proxy.context.noteLatency = [](Duration, Duration) {
+    proxy.context.recordLatency = [](Duration, Duration) {
         throw std::runtime_error("out of memory");
     };
     Peer caller = proxy.caller();
--- a/src/net/configsync.cpp
+++ b/src/net/configsync.cpp
@@ -191,10 +191,10 @@
     return status;
 }
 
-bool ConfigSync::learn(const ConfigUpdate &update, std::string_view source)
+bool ConfigSync::applyUpdate(const ConfigUpdate &update, std::string_view source)
 {
     const Offset before = m_state.applied();
-    const auto outcomes = m_state.learn(update);
+    const auto outcomes = m_state.applyUpdate(update);
     if (!outcomes) {
         if (outcomes.error().kind == ErrorKind::Conflict) {
             reportDifferentLog(std::string(source) + ": " + outcomes.error().detail);
--- a/src/net/configsyncpeers.cpp
+++ b/src/net/configsyncpeers.cpp
@@ -74,7 +74,7 @@
 void ConfigSync::pushTo(const Endpoint &peer, Offset from)
 {
     ConfigPush push { m_state.applied(), {} };
-    if (auto update = m_state.newsSince(from)) {
+    if (auto update = m_state.updateSince(from)) {
         std::size_t bytes = 0;
         std::size_t fitting = 0;
         while (fitting < update->records.size() && bytes + update->records[fitting].size() <= m_settings.maxPush) {
@@ -143,7 +143,7 @@
     ConfigPullResponse response { m_state.applied(), m_phase == ConfigPhase::InForce, {}, {} };
     notePeerProgress(pull->applied);
     if (response.ready && pull->applied < response.applied) {
-        if (auto update = m_state.newsSince(pull->applied)) {
+        if (auto update = m_state.updateSince(pull->applied)) {
             response.update = std::move(*update);
         } else {
             m_state.read([&](const ConfigTable &table) {
--- a/src/net/exchange.cpp
+++ b/src/net/exchange.cpp
@@ -147,7 +147,7 @@
         return;
     }
     const Instant now = Clock::now();
-    Finished finished;
+    FinishedAttempt finished;
     finished.result = result;
     finished.route = m_request.routeIndex;
     finished.latency = attempt.firstByteAt.value_or(now) - attempt.grantedAt;
@@ -200,7 +200,7 @@
         m_worker.pool.put(m_source->grant->endpoint, std::move(m_source->connection), now);
     }
     settle(*m_source, serverError ? AttemptResult::ServerError : AttemptResult::Success);
-    m_request.access.state->noteAnswered();
+    m_request.access.state->recordResponse();
 }
 
 DataAwaitable<ExchangeEnd> Exchange::run()
@@ -241,7 +241,7 @@
     if (end.kind == StepKind::Finish) {
         end.stored = std::move(m_stored);
         end.outcome = Outcome::Answered;
-        m_context.noteLatency(Clock::now() - m_request.arrived, m_atTarget);
+        m_context.recordLatency(Clock::now() - m_request.arrived, m_atTarget);
     }
     co_return end;
 }
--- a/src/net/exchangeattempt.cpp
+++ b/src/net/exchangeattempt.cpp
@@ -42,7 +42,7 @@
     }
 }
 
-DataAwaitable<std::optional<Admitted>> Exchange::admit(AttemptPtr attempt, const Step &step)
+DataAwaitable<std::optional<AdmissionResult>> Exchange::admit(AttemptPtr attempt, const Step &step)
 {
     Admission admission;
     admission.account = m_request.account;
@@ -55,7 +55,7 @@
     attempt->queued = ++m_context.requestNumber;
     const auto makeWaiter = [this, &attempt] {
         const boost::intrusive_ptr<Exchange> self(this);
-        return WaiterPtr(new Waiter([self, attempt](Admitted admitted) {
+        return WaiterPtr(new Waiter([self, attempt](AdmissionResult admitted) {
             asio::post(self->m_worker.context, [self, attempt, admitted = std::move(admitted)] {
                 attempt->admitted = admitted;
                 attempt->turn.set();
@@ -244,7 +244,7 @@
 
 DataAwaitable<void> Exchange::runAttempt(AttemptPtr attempt, Step step)
 {
-    const std::optional<Admitted> admitted = co_await admit(attempt, step);
+    const std::optional<AdmissionResult> admitted = co_await admit(attempt, step);
     if (!admitted) {
         co_return;
     }
@@ -287,7 +287,7 @@
     attempt->shedRetryAfter = attempt->header.retryAfterSeconds;
     attempt->load = reportedLoad(*attempt->parser);
     attempt->targetLeaving = fieldValue(attempt->parser->get(), DrainingHeader) == "1";
-    m_request.access.state->noteLatency(m_request.routeIndex, now - attempt->grantedAt);
+    m_request.access.state->recordLatency(m_request.routeIndex, now - attempt->grantedAt);
     apply(m_plan.onHeader(attempt->number, attempt->header, now));
 }
 
--- a/src/net/exchangeattemptstate.h
+++ b/src/net/exchangeattemptstate.h
@@ -19,7 +19,7 @@
     AttemptNumber number;
     Signal turn; // set when `admitted` has come, or the attempt is cancelled
     RequestId queued = 0; // its id in the service's queue; 0: not there yet
-    std::optional<Admitted> admitted;
+    std::optional<AdmissionResult> admitted;
     std::optional<Grant> grant; // until given back
     TargetConnectionPtr connection;
     std::unique_ptr<ResponseParser> parser;
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -147,7 +147,7 @@
         m_service.balancer.markRemoved(attempt.target.id);
     }
     attempt.judged = true;
-    m_context.metrics.noteAttempt(m_request.service, attempt.target.id, result, end.latency);
+    m_context.metrics.recordAttempt(m_request.service, attempt.target.id, result, end.latency);
     if (result == AttemptResult::Success || (result == AttemptResult::Cancelled && !m_callerGone)) {
         return;
     }
--- a/src/net/gatewaysession.cpp
+++ b/src/net/gatewaysession.cpp
@@ -225,7 +225,7 @@
 void GatewaySession::noteEnd(const Request &request, Outcome outcome, std::optional<ErrorKind> error)
 {
     const std::string route = request.route != nullptr ? request.route->name : "";
-    m_context.forward.metrics.noteRequest(route, outcome, error, Clock::now() - request.arrived);
+    m_context.forward.metrics.recordRequest(route, outcome, error, Clock::now() - request.arrived);
 }
 
 void GatewaySession::logEnd(const Request &request, const ForwardEnd &end)
--- a/src/net/httpmessage.cpp
+++ b/src/net/httpmessage.cpp
@@ -273,7 +273,7 @@
 OwnAnswer errorAnswerFor(
     ErrorKind kind, Outcome outcome, int retryAfterSeconds, std::string_view detail, std::string_view requestId)
 {
-    const ErrorAnswer &row = errorAnswer(kind);
+    const ErrorInfo &row = errorInfo(kind);
     OwnAnswer answer;
     answer.status = row.status;
     answer.outcome = outcome;
--- a/src/net/pathtesthelp.h
+++ b/src/net/pathtesthelp.h
@@ -274,7 +274,7 @@
 
     CallerContext context;
     ServiceStatePtr state;
-    OnceState once;
+    AtMostOnceState once;
     std::map<Incarnation, Endpoint> members; // to be filled before the first request
 
 private:
@@ -324,7 +324,7 @@
             const auto found = members.find(other);
             return found == members.end() ? std::nullopt : std::optional(found->second);
         };
-        context.noteLatency = [](Duration, Duration) {};
+        context.recordLatency = [](Duration, Duration) {};
         context.ready = true;
     }
 
--- a/src/net/prober.cpp
+++ b/src/net/prober.cpp
@@ -82,11 +82,11 @@
         co_return;
     }
     if (answer.error) {
-        service->noteProbeFailed(*index, now - started, now);
+        service->recordProbeFailure(*index, now - started, now);
     } else {
         const bool leaving = answer.draining || answer.body.find("\"leaving\"") != std::string::npos;
         const bool cold = answer.body.find("\"cold\"") != std::string::npos;
-        service->noteProbe(*index, leaving, cold, internal::inFlightOf(answer.load), now);
+        service->recordProbe(*index, leaving, cold, internal::inFlightOf(answer.load), now);
     }
 }
 
--- a/src/net/shareexchange.cpp
+++ b/src/net/shareexchange.cpp
@@ -125,7 +125,7 @@
         if (!served) {
             continue;
         }
-        if (const std::optional<DemandReport> report = served->state->leaveShares(now)) {
+        if (const std::optional<DemandReport> report = served->state->withdrawDemand(now)) {
             send(name, *report, peers);
         }
     }
--- a/src/policy/callerspagetest.cpp
+++ b/src/policy/callerspagetest.cpp
@@ -19,7 +19,7 @@
     return text.str();
 }
 
-std::string tableRow(const ErrorAnswer &row)
+std::string tableRow(const ErrorInfo &row)
 {
     const std::string retryAfter = row.retryAfterSeconds > 0 ? std::to_string(row.retryAfterSeconds) : "-";
     return "| `" + std::string(row.name) + "` | " + std::to_string(row.status) + " | "
@@ -36,7 +36,7 @@
     const std::string page = callersPage();
     std::size_t last = 0;
     for (int index = 0; index <= static_cast<int>(ErrorKind::Internal); ++index) {
-        const std::string row = tableRow(errorAnswer(static_cast<ErrorKind>(index)));
+        const std::string row = tableRow(errorInfo(static_cast<ErrorKind>(index)));
         const std::size_t found = page.find(row);
         CHECK_TRUE_TEXT(found != std::string::npos, row.c_str());
         CHECK_TRUE_TEXT(found > last, row.c_str());
--- a/src/policy/forwardplantest.cpp
+++ b/src/policy/forwardplantest.cpp
@@ -88,7 +88,7 @@
             RC_ASSERT(mayHaveRun <= route.maxAttempts);
             RC_ASSERT(isIdempotent(kind) || mayHaveRun <= 1);
             RC_ASSERT((plan.outcome() == Outcome::NotRun) == (mayHaveRun == 0));
-            const ErrorAnswer &answer = errorAnswer(plan.finalError(false));
+            const ErrorInfo &answer = errorInfo(plan.finalError(false));
             RC_ASSERT(mayHaveRun == 0 || (answer.status != 503 && answer.status != 429));
         }
     }));
--- a/src/policy/requestplansteps.cpp
+++ b/src/policy/requestplansteps.cpp
@@ -268,7 +268,7 @@
     step.error = notRun ? m_notRunError : m_unknownOutcomeError;
     step.repeatIsSafe = notRun || m_settings.idempotent;
     if (step.repeatIsSafe) {
-        const int minSeconds = std::max(errorAnswer(step.error).retryAfterSeconds, internal::MinRetryAfterSeconds);
+        const int minSeconds = std::max(errorInfo(step.error).retryAfterSeconds, internal::MinRetryAfterSeconds);
         step.retryAfterSeconds = std::max(minSeconds, m_retryAfterSeconds);
     }
     steps.push_back(step);
--- a/src/policy/requestplantest.cpp
+++ b/src/policy/requestplantest.cpp
@@ -296,7 +296,7 @@
             RC_ASSERT(m_runs == 0);
         } else {
             RC_ASSERT(m_finalStep->outcome == Outcome::Unknown);
-            RC_ASSERT(errorAnswer(m_finalStep->error).outcome == Outcome::Unknown);
+            RC_ASSERT(errorInfo(m_finalStep->error).outcome == Outcome::Unknown);
             RC_ASSERT(!m_finalStep->repeatIsSafe || m_idempotent);
         }
     }
--- a/src/state/configstatecommands.cpp
+++ b/src/state/configstatecommands.cpp
@@ -8,20 +8,21 @@
 namespace internal
 {
 
-// Returns what keeps the news from following on what was applied; nothing when they follow.
-std::optional<Error> obstacleTo(const ConfigUpdate &news, const ConfigState::Position &position)
+// Returns the reason why `update` doesn't continue the records applied up to `position`, or nothing if it does.
+std::optional<Error> continuityError(const ConfigUpdate &update, const ConfigState::Position &position)
 {
-    const Offset end = news.from + news.records.size();
-    if (news.from > position.applied) {
+    const Offset end = update.from + update.records.size();
+    if (update.from > position.applied) {
         return Error { ErrorKind::NotReady,
-                       "records from " + std::to_string(position.applied) + " to " + std::to_string(news.from)
+                       "records from " + std::to_string(position.applied) + " to " + std::to_string(update.from)
                            + " are missing" };
     }
     if (end < position.applied || position.applied == 0) {
         return std::nullopt;
     }
-    const RecordDigest last =
-        news.from == position.applied ? news.before : digestOfRecord(news.records[position.applied - 1 - news.from]);
+    const RecordDigest last = update.from == position.applied
+                                  ? update.before
+                                  : digestOfRecord(update.records[position.applied - 1 - update.from]);
     if (last != position.last) {
         return Error { ErrorKind::Conflict,
                        "record " + std::to_string(position.applied - 1) + " differs: they come from another log" };
@@ -36,17 +37,17 @@
 {
 }
 
-Result<std::vector<EditOutcome>> ConfigState::learn(const ConfigUpdate &news)
+Result<std::vector<EditOutcome>> ConfigState::applyUpdate(const ConfigUpdate &update)
 {
     const std::unique_lock lock(m_tableMutex);
     const Position position { m_table.nextOffset(), m_table.lastRecordDigest() };
-    if (auto obstacle = internal::obstacleTo(news, position)) {
-        return tl::make_unexpected(std::move(*obstacle));
+    if (auto mismatch = internal::continuityError(update, position)) {
+        return tl::make_unexpected(std::move(*mismatch));
     }
     std::vector<EditOutcome> outcomes;
-    for (std::size_t index = 0; index < news.records.size(); ++index) {
-        if (news.from + index >= position.applied) {
-            outcomes.push_back(applyOne(news.from + index, news.records[index]));
+    for (std::size_t index = 0; index < update.records.size(); ++index) {
+        if (update.from + index >= position.applied) {
+            outcomes.push_back(applyOne(update.from + index, update.records[index]));
         }
     }
     return outcomes;
@@ -54,27 +55,27 @@
 
 EditOutcome ConfigState::applyOne(Offset offset, const std::string &record)
 {
-    std::vector<ServiceName> touched = touchedBy(record);
+    std::vector<ServiceName> changedServices = servicesChangedBy(record);
     m_tail.add(offset, m_table.lastRecordDigest(), record);
     EditOutcome outcome = m_table.apply(offset, record).value();
     if (outcome.status == EditStatus::Accepted) {
-        std::sort(touched.begin(), touched.end());
-        touched.erase(std::unique(touched.begin(), touched.end()), touched.end());
-        for (const ServiceName &name : touched) {
-            m_touches.push_back({ offset, name });
+        std::sort(changedServices.begin(), changedServices.end());
+        changedServices.erase(std::unique(changedServices.begin(), changedServices.end()), changedServices.end());
+        for (const ServiceName &name : changedServices) {
+            m_serviceChanges.push_back({ offset, name });
             rebuildView(name);
         }
     }
-    while (m_touches.size() > RememberedTouches) {
-        m_touchesFrom = m_touches.front().offset + 1;
-        m_touches.pop_front();
+    while (m_serviceChanges.size() > MaxServiceChanges) {
+        m_serviceChangesFrom = m_serviceChanges.front().offset + 1;
+        m_serviceChanges.pop_front();
     }
     return outcome;
 }
 
-// Returns the services whose views the record may change, seen from before it is applied: a target that moves touches
-// the service that it leaves.
-std::vector<ServiceName> ConfigState::touchedBy(const std::string &record) const
+// Returns the services whose views the record may change. Must be called before the record is applied: a target that
+// moves to another service also changes the service that it leaves.
+std::vector<ServiceName> ConfigState::servicesChangedBy(const std::string &record) const
 {
     std::vector<ServiceName> names;
     const auto edit = decodeEdit(record);
@@ -110,8 +111,8 @@
         return failure(ErrorKind::Conflict, "the snapshot lacks the last edit applied here: it comes from another log");
     }
     m_table = std::move(table);
-    m_touches.clear();
-    m_touchesFrom = m_table.nextOffset();
+    m_serviceChanges.clear();
+    m_serviceChangesFrom = m_table.nextOffset();
     for (Shard &shard : m_shards) {
         std::vector<ServiceName> names;
         {
@@ -134,7 +135,7 @@
     shard.views.erase(name);
 }
 
-// Builds the view outside the shard's lock: a large service would keep requests waiting otherwise.
+// Builds the view without holding the shard's lock; otherwise, a large service would block requests.
 void ConfigState::rebuildView(const ServiceName &name)
 {
     Shard &shard = shardOf(name);
--- a/src/state/configstateconcurrenttest.cpp
+++ b/src/state/configstateconcurrenttest.cpp
@@ -15,10 +15,10 @@
 
 constexpr int Edits = 400;
 constexpr int Readers = 4;
-constexpr int SnapshotEach = 50; // edits
+constexpr int SnapshotInterval = 50; // edits
 
-// Edit number `n` sets the service and its target in one go, so that both name the same edit.
-std::string editOf(int number)
+// Returns edit `number`, which sets the service and its target in one record, so that both name the same edit.
+std::string makeEdit(int number)
 {
     const Version base = static_cast<Version>(number);
     Service changed = service("s", base);
@@ -28,7 +28,7 @@
     return record("e" + std::to_string(number), { { changed, false }, { moved, false } });
 }
 
-// What a reader found wrong; CppUTest's checks belong to the main thread.
+// Reads the state and counts inconsistencies. CppUTest's checks may only be used on the main thread.
 class Reader
 {
 public:
@@ -42,19 +42,19 @@
         const ConfigState::Position before = m_state.position();
         const ServiceViewPtr view = m_state.service(ServiceName("s"));
         const Offset number = view ? view->service.floorCount : 0;
-        m_wrong += number < before.applied ? 1 : 0; // a view from before an edit that was in force
-        m_wrong += number < m_newest ? 1 : 0; // a step back
-        m_wrong += view && (view->targets.size() != 1 || view->targets.front().port != number) ? 1 : 0;
+        m_errors += number < before.applied ? 1 : 0; // the view is older than an edit in force
+        m_errors += number < m_newest ? 1 : 0; // the view is older than the previous one
+        m_errors += view && (view->targets.size() != 1 || view->targets.front().port != number) ? 1 : 0;
         m_newest = number;
-        const auto news = m_state.newsSince(before.applied > 2 ? before.applied - 2 : 0);
-        m_wrong += news && before.applied > 0 && news->records.empty() ? 1 : 0;
-        const auto touched = m_state.touchedSince(before.applied);
-        m_wrong += touched && touched->size() > 1 ? 1 : 0;
-        m_wrong += m_state.viewCount() > 1 ? 1 : 0;
+        const auto update = m_state.updateSince(before.applied > 2 ? before.applied - 2 : 0);
+        m_errors += update && before.applied > 0 && update->records.empty() ? 1 : 0;
+        const auto changedServices = m_state.servicesChangedSince(before.applied);
+        m_errors += changedServices && changedServices->size() > 1 ? 1 : 0;
+        m_errors += m_state.viewCount() > 1 ? 1 : 0;
         m_state.read([this](const ConfigTable &table) {
             const Service *service = table.service(ServiceName("s"));
             const Target *target = table.target(TargetName("t"));
-            m_wrong += service && (!target || target->port != service->floorCount) ? 1 : 0;
+            m_errors += service && (!target || target->port != service->floorCount) ? 1 : 0;
         });
     }
 
@@ -63,28 +63,28 @@
         return m_newest;
     }
 
-    int wrong() const
+    int errors() const
     {
-        return m_wrong;
+        return m_errors;
     }
 
 private:
     const ConfigState &m_state;
     Offset m_newest = 0;
-    int m_wrong = 0;
+    int m_errors = 0;
 };
 
 } // namespace
 
 TEST_GROUP(ConfigStateConcurrent) {};
 
-// Failure: a request is judged by half an edit, or by an older one than a request before it.
-TEST(ConfigStateConcurrent, readersSeeWholeEditsAndNeverGoBack)
+// Guards against handling a request with a partially applied edit, or with an older edit than an earlier request.
+TEST(ConfigStateConcurrent, readersSeeAtomicEditsInOrder)
 {
     ConfigState state;
     std::vector<std::string> log;
     for (int number = 0; number < Edits; ++number) {
-        log.push_back(editOf(number));
+        log.push_back(makeEdit(number));
     }
     std::atomic<bool> finished { false };
     std::vector<Reader> readers(Readers, Reader(state));
@@ -97,15 +97,15 @@
             reader.readOnce();
         });
     }
-    ConfigTable ahead;
+    ConfigTable reference;
     std::size_t refused = 0;
     for (int number = 0; number < Edits; ++number) {
         const Offset offset = static_cast<Offset>(number);
-        refused += ahead.apply(offset, log[offset])->status == EditStatus::Accepted ? 0 : 1;
-        if (number % SnapshotEach == SnapshotEach - 1) {
-            refused += state.load(ConfigTable::fromSnapshot(ahead.snapshot()).value()) ? 0 : 1;
+        refused += reference.apply(offset, log[offset])->status == EditStatus::Accepted ? 0 : 1;
+        if (number % SnapshotInterval == SnapshotInterval - 1) {
+            refused += state.load(ConfigTable::fromSnapshot(reference.snapshot()).value()) ? 0 : 1;
         } else {
-            refused += state.learn({ offset, state.position().last, { log[offset] } }) ? 0 : 1;
+            refused += state.applyUpdate({ offset, state.position().last, { log[offset] } }) ? 0 : 1;
         }
         state.releaseView(ServiceName("s"));
     }
@@ -115,7 +115,7 @@
     }
     LONGS_EQUAL(0, refused);
     for (const Reader &reader : readers) {
-        LONGS_EQUAL(0, reader.wrong());
+        LONGS_EQUAL(0, reader.errors());
         LONGS_EQUAL(Edits, reader.newest());
     }
 }
--- a/src/state/configstatequeries.cpp
+++ b/src/state/configstatequeries.cpp
@@ -20,7 +20,8 @@
             return found->second;
         }
     }
-    // Built and stored under the table's lock: an edit between the two would leave a view from before it for good.
+    // The view is built and stored under the table's lock. Otherwise, an edit between the two would leave an outdated
+    // view in place permanently.
     const std::shared_lock lock(m_tableMutex);
     ServiceViewPtr view = buildView(name);
     if (view) {
@@ -74,22 +75,22 @@
     return m_table.outcomeOf(id);
 }
 
-std::optional<ConfigUpdate> ConfigState::newsSince(Offset from) const
+std::optional<ConfigUpdate> ConfigState::updateSince(Offset from) const
 {
     const std::shared_lock lock(m_tableMutex);
     return m_tail.since(from);
 }
 
-std::optional<std::vector<ServiceName>> ConfigState::touchedSince(Offset from) const
+std::optional<std::vector<ServiceName>> ConfigState::servicesChangedSince(Offset from) const
 {
     const std::shared_lock lock(m_tableMutex);
-    if (from < m_touchesFrom) {
+    if (from < m_serviceChangesFrom) {
         return std::nullopt;
     }
     std::set<ServiceName> names;
-    for (const Touch &touch : m_touches) {
-        if (touch.offset >= from) {
-            names.insert(touch.service);
+    for (const ServiceChange &change : m_serviceChanges) {
+        if (change.offset >= from) {
+            names.insert(change.service);
         }
     }
     return std::vector<ServiceName>(names.begin(), names.end());
--- a/src/state/configstatetest.cpp
+++ b/src/state/configstatetest.cpp
@@ -14,16 +14,17 @@
 namespace
 {
 
-// The platform's log: keeps the records from `first` on.
+// The platform's log, which retains the records from `first` on.
 struct FakeLog {
     std::vector<std::string> records;
     Offset first = 0;
     std::vector<std::string> snapshots;
 
-    LogPage page(Offset from, std::size_t most) const
+    LogPage page(Offset from, std::size_t maxRecords) const
     {
         LogPage result { first, records.size(), {} };
-        for (Offset offset = std::max(from, first); offset < records.size() && result.records.size() < most; ++offset) {
+        for (Offset offset = std::max(from, first); offset < records.size() && result.records.size() < maxRecords;
+             ++offset) {
             result.records.push_back({ offset, records[offset] });
         }
         return result;
@@ -40,25 +41,25 @@
     }
 };
 
-// What a proxy does with a page of the log, without the waiting.
-void readLog(ConfigState &state, const FakeLog &log, std::size_t most)
+// Reads a page of the log and applies it as a proxy does, but without waiting.
+void readLog(ConfigState &state, const FakeLog &log, std::size_t maxRecords)
 {
     const auto position = state.position();
-    const auto judgement =
-        checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), most));
-    RC_ASSERT(judgement.finding != LogFinding::RolledBack);
-    RC_ASSERT(judgement.finding != LogFinding::Malformed);
-    if (judgement.finding == LogFinding::Expired) {
+    const auto logCheck =
+        checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), maxRecords));
+    RC_ASSERT(logCheck.finding != LogFinding::RolledBack);
+    RC_ASSERT(logCheck.finding != LogFinding::Malformed);
+    if (logCheck.finding == LogFinding::Expired) {
         if (auto table = log.newestSnapshot()) {
             (void)state.load(std::move(*table));
         }
         return;
     }
     ConfigUpdate update { position.applied, position.last, {} };
-    for (const LogRecord &record : judgement.update) {
+    for (const LogRecord &record : logCheck.update) {
         update.records.push_back(record.data);
     }
-    RC_ASSERT(state.learn(update).has_value());
+    RC_ASSERT(state.applyUpdate(update).has_value());
 }
 
 std::string digestOf(const ConfigState &state)
@@ -106,15 +107,15 @@
 {
     ConfigState m_state;
 
-    static ConfigUpdate newsOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
+    static ConfigUpdate updateOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
     {
         return { from, before, std::move(records) };
     }
 };
 
-TEST(ConfigState, everyRouteLeadsForwardToTheSameTable)
+TEST(ConfigState, everyUpdatePathConvergesToTheSameTable)
 {
-    CHECK_TRUE(rc::check("proxies that read, hear, restart and publish in any order agree, and never go back", [] {
+    CHECK_TRUE(rc::check("proxies that read, receive, restart and publish in any order agree, and never go back", [] {
         constexpr std::size_t Proxies = 4;
         constexpr std::size_t TailBytes = 2'000;
         const auto edits = generateLog();
@@ -131,7 +132,7 @@
             const std::size_t other = draw.below(Proxies);
             const Offset before = proxies[self]->applied();
             switch (draw.below(8)) {
-            case 0: // a restart forgets everything
+            case 0: // a restart loses all state
                 proxies[self] = std::make_unique<ConfigState>(TailBytes);
                 break;
             case 1:
@@ -143,8 +144,8 @@
                 }
                 break;
             case 3: // a peer's records, of any age
-                if (const auto update = proxies[other]->newsSince(draw.below(log.records.size() + 1))) {
-                    (void)proxies[self]->learn(*update);
+                if (const auto update = proxies[other]->updateSince(draw.below(log.records.size() + 1))) {
+                    (void)proxies[self]->applyUpdate(*update);
                 }
                 break;
             case 4: // a peer's snapshot, of any age
@@ -168,7 +169,7 @@
             RC_ASSERT(digestOf(*proxies[self]) == reference.digest());
             checkViews(*proxies[self]);
         }
-        // Once the faults are over, every edit in the log is in force everywhere.
+        // When the faults end, every edit in the log comes into force in every proxy.
         for (const auto &proxy : proxies) {
             for (std::size_t reads = 0; reads < log.records.size() + 2; ++reads) {
                 readLog(*proxy, log, 5);
@@ -178,13 +179,13 @@
     }));
 }
 
-// The log is made anew, or loses its tail and goes on with other records.
-// A reader that follows by offset alone would take up in the middle of a history that it has never seen.
-TEST(ConfigState, logThatLostItsTailIsToldAndNotFollowed)
+// Guards against following a log that was recreated, or that lost its tail and continued with different records. A
+// proxy that compares only offsets would continue in the middle of an unrelated history.
+TEST(ConfigState, logThatLostItsTailIsDetectedAndNotApplied)
 {
     FakeLog log;
     log.records = { record("1", { { account("a"), false } }), record("2", { { account("b"), false } }) };
-    CHECK_TRUE(m_state.learn(newsOf(0, {}, log.records)).has_value());
+    CHECK_TRUE(m_state.applyUpdate(updateOf(0, {}, log.records)).has_value());
     log.records[1] = record("x", { { account("x"), false } });
     log.records.push_back(record("y", { { account("y"), false } }));
     const auto position = m_state.position();
@@ -193,18 +194,18 @@
     CHECK_TRUE(checkLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::RolledBack);
 }
 
-// Some peers follow the log made anew, others the old one; the offsets meet.
-// Mixed records would give a table that no log ever held.
-TEST(ConfigState, peerOfAnotherLogIsNotFollowed)
+// Guards against mixing records of two logs: some peers follow the recreated log and some the old one, at the same
+// offsets. The result would be a table that no log ever contained.
+TEST(ConfigState, updateFromAnotherLogIsRejected)
 {
     const std::string first = record("1", { { account("a"), false } });
     const std::string foreign = record("x", { { account("x"), false } });
-    CHECK_TRUE(m_state.learn(newsOf(0, {}, { first })).has_value());
-    const auto apart = m_state.learn(newsOf(1, digestOfRecord(foreign), { foreign }));
-    CHECK_TRUE(apart.error().kind == ErrorKind::Conflict);
-    const auto overlapping = m_state.learn(newsOf(0, {}, { foreign, foreign }));
+    CHECK_TRUE(m_state.applyUpdate(updateOf(0, {}, { first })).has_value());
+    const auto disjoint = m_state.applyUpdate(updateOf(1, digestOfRecord(foreign), { foreign }));
+    CHECK_TRUE(disjoint.error().kind == ErrorKind::Conflict);
+    const auto overlapping = m_state.applyUpdate(updateOf(0, {}, { foreign, foreign }));
     CHECK_TRUE(overlapping.error().kind == ErrorKind::Conflict);
-    const auto gap = m_state.learn(newsOf(2, {}, { foreign }));
+    const auto gap = m_state.applyUpdate(updateOf(2, {}, { foreign }));
     CHECK_TRUE(gap.error().kind == ErrorKind::NotReady);
     LONGS_EQUAL(1, m_state.applied());
     ConfigTable foreignTable;
@@ -213,21 +214,21 @@
     CHECK_TRUE(m_state.load(std::move(foreignTable)).error().kind == ErrorKind::Conflict);
 }
 
-// A page answers with the records after a hole, for instance when the log's store lost some in the middle.
-TEST(ConfigState, pageWithAHoleIsNotApplied)
+// Guards against applying a page with a gap, for instance after the log's store lost records in the middle.
+TEST(ConfigState, pageWithAGapIsNotApplied)
 {
-    const auto judgement = checkLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
-    CHECK_TRUE(judgement.finding == LogFinding::Malformed);
+    const auto logCheck = checkLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
+    CHECK_TRUE(logCheck.finding == LogFinding::Malformed);
     CHECK_TRUE(checkLog(0, {}, { 0, 3, { { 1, "b" }, { 2, "c" } } }).finding == LogFinding::Malformed);
 }
 
-TEST(ConfigState, viewOutlivesTheEditThatReplacesIt)
+TEST(ConfigState, heldViewIsUnchangedByALaterEdit)
 {
-    CHECK_TRUE(m_state.learn(newsOf(0, {}, { record("1", { { service("s"), false } }) })).has_value());
+    CHECK_TRUE(m_state.applyUpdate(updateOf(0, {}, { record("1", { { service("s"), false } }) })).has_value());
     const auto before = m_state.service(ServiceName("s"));
     const auto position = m_state.position();
     const std::string edit = record("2", { { target("t", "s"), false } });
-    CHECK_TRUE(m_state.learn(newsOf(1, position.last, { edit })).has_value());
+    CHECK_TRUE(m_state.applyUpdate(updateOf(1, position.last, { edit })).has_value());
     LONGS_EQUAL(0, before->targets.size());
     LONGS_EQUAL(1, m_state.service(ServiceName("s"))->targets.size());
 }
--- a/src/state/gatewaymetrics.cpp
+++ b/src/state/gatewaymetrics.cpp
@@ -11,14 +11,14 @@
 
 const std::string Other = "other";
 
-// Returns `name` if it has its place in `known` already or there is room for one more.
+// Returns `name` if `known` contains it or has fewer than `bound` entries, otherwise "other".
 template<typename Container>
 const std::string &boundedName(const Container &known, const std::string &name, std::size_t bound)
 {
     return known.size() < bound || known.count(name) > 0 ? name : Other;
 }
 
-std::string nameOf(std::optional<ErrorKind> error)
+std::string errorLabel(std::optional<ErrorKind> error)
 {
     return error ? std::string(toString(*error)) : "none";
 }
@@ -32,29 +32,29 @@
 {
 }
 
-void GatewayMetrics::noteRequest(const std::string &route,
-                                 Outcome outcome,
-                                 std::optional<ErrorKind> error,
-                                 Duration latency)
+void GatewayMetrics::recordRequest(const std::string &route,
+                                   Outcome outcome,
+                                   std::optional<ErrorKind> error,
+                                   Duration latency)
 {
     const std::string name = internal::boundedName(m_latencies, route, m_bounds.routes);
     ++m_requests[{ name, outcome, error }];
     LatencySeries &series = m_latencies[name];
     if (outcome == Outcome::Answered) {
-        series.note(latency);
+        series.record(latency);
     }
 }
 
-void GatewayMetrics::noteAttempt(const ServiceName &service,
-                                 const TargetName &target,
-                                 AttemptResult result,
-                                 Duration latency)
+void GatewayMetrics::recordAttempt(const ServiceName &service,
+                                   const TargetName &target,
+                                   AttemptResult result,
+                                   Duration latency)
 {
     const std::string name = internal::boundedName(m_targets, target.value(), m_bounds.targets);
     m_targets.insert(name);
-    const std::string owner = internal::boundedName(m_attemptLatencies, service.value(), m_bounds.routes);
-    ++m_attempts[{ owner, name, result }];
-    m_attemptLatencies[owner].note(latency);
+    const std::string serviceLabel = internal::boundedName(m_attemptLatencies, service.value(), m_bounds.routes);
+    ++m_attempts[{ serviceLabel, name, result }];
+    m_attemptLatencies[serviceLabel].record(latency);
 }
 
 void GatewayMetrics::write(MetricsText &metrics) const
@@ -65,7 +65,7 @@
         metrics.sample(static_cast<double>(count),
                        { { "route", route },
                          { "outcome", std::string(toString(outcome)) },
-                         { "error", internal::nameOf(error) } });
+                         { "error", internal::errorLabel(error) } });
     }
     metrics.family("request_seconds", "histogram", "Time of answered requests, from the header's first byte on.");
     for (const auto &[route, series] : m_latencies) {
--- a/src/state/gatewaymetricstest.cpp
+++ b/src/state/gatewaymetricstest.cpp
@@ -21,9 +21,9 @@
 TEST(GatewayMetrics, RequestsAreCountedByRouteOutcomeAndError)
 {
     GatewayMetrics metrics;
-    metrics.noteRequest("r-1", Outcome::Answered, std::nullopt, Millis(20));
-    metrics.noteRequest("r-1", Outcome::Answered, std::nullopt, Millis(30));
-    metrics.noteRequest("r-1", Outcome::NotRun, ErrorKind::NoTarget, Millis(1));
+    metrics.recordRequest("r-1", Outcome::Answered, std::nullopt, Millis(20));
+    metrics.recordRequest("r-1", Outcome::Answered, std::nullopt, Millis(30));
+    metrics.recordRequest("r-1", Outcome::NotRun, ErrorKind::NoTarget, Millis(1));
     const std::string text = exposition(metrics);
     STRCMP_CONTAINS("requests_total{route=\"r-1\",outcome=\"answered\",error=\"none\"} 2\n", text.c_str());
     STRCMP_CONTAINS("requests_total{route=\"r-1\",outcome=\"not-run\",error=\"no-target\"} 1\n", text.c_str());
@@ -32,8 +32,8 @@
 TEST(GatewayMetrics, LatenciesAreThoseOfAnsweredRequests)
 {
     GatewayMetrics metrics;
-    metrics.noteRequest("r-1", Outcome::Answered, std::nullopt, Millis(20));
-    metrics.noteRequest("r-1", Outcome::Unknown, ErrorKind::TargetTimeout, Seconds(4));
+    metrics.recordRequest("r-1", Outcome::Answered, std::nullopt, Millis(20));
+    metrics.recordRequest("r-1", Outcome::Unknown, ErrorKind::TargetTimeout, Seconds(4));
     const std::string text = exposition(metrics);
     STRCMP_CONTAINS("request_seconds_count{route=\"r-1\"} 1\n", text.c_str());
     STRCMP_CONTAINS("request_seconds_sum{route=\"r-1\"} 0.02\n", text.c_str());
@@ -42,22 +42,23 @@
 TEST(GatewayMetrics, AttemptsAreCountedByTargetAndResult)
 {
     GatewayMetrics metrics;
-    metrics.noteAttempt(ServiceName("s"), TargetName("t-1"), AttemptResult::Reset, Millis(2));
+    metrics.recordAttempt(ServiceName("s"), TargetName("t-1"), AttemptResult::Reset, Millis(2));
     const std::string text = exposition(metrics);
     STRCMP_CONTAINS("attempts_total{service=\"s\",target=\"t-1\",result=\"reset\"} 1\n", text.c_str());
     STRCMP_CONTAINS("attempt_seconds_count{service=\"s\"} 1\n", text.c_str());
 }
 
-// Targets are replaced all the time, each under a new name; the process lives for months.
-TEST(GatewayMetrics, NamesBeyondTheBoundAreCountedTogether)
+// Guards against unbounded growth of the metrics: targets are replaced continually, each under a new name, and the
+// process runs for months.
+TEST(GatewayMetrics, NamesBeyondTheBoundAreCountedAsOther)
 {
     MetricBounds bounds;
     bounds.targets = 2;
     bounds.routes = 2;
     GatewayMetrics metrics(bounds);
     for (const char *name : { "t-1", "t-2", "t-3", "t-4", "t-1" }) {
-        metrics.noteAttempt(ServiceName("s"), TargetName(name), AttemptResult::Success, Millis(2));
-        metrics.noteRequest(name, Outcome::Answered, std::nullopt, Millis(2));
+        metrics.recordAttempt(ServiceName("s"), TargetName(name), AttemptResult::Success, Millis(2));
+        metrics.recordRequest(name, Outcome::Answered, std::nullopt, Millis(2));
     }
     const std::string text = exposition(metrics);
     STRCMP_CONTAINS("target=\"t-1\",result=\"success\"} 2\n", text.c_str());
--- a/src/state/latencyseries.cpp
+++ b/src/state/latencyseries.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-// Four to five buckets for each power of ten: a quantile is read off within a third of its value.
+// Four to five buckets per power of ten, so that a quantile is accurate to within a third of its value.
 constexpr unsigned BucketCount = 32;
-constexpr double LeastSeconds = 0.00001;
-constexpr double MostSeconds = 100;
+constexpr double MinSeconds = 0.00001;
+constexpr double MaxSeconds = 100;
 
 std::string boundText(double seconds)
 {
@@ -29,11 +29,11 @@
 
 LatencySeries::LatencySeries()
     : m_histogram(
-        boost::histogram::make_histogram(Axis(internal::BucketCount, internal::LeastSeconds, internal::MostSeconds)))
+        boost::histogram::make_histogram(Axis(internal::BucketCount, internal::MinSeconds, internal::MaxSeconds)))
 {
 }
 
-void LatencySeries::note(Duration span)
+void LatencySeries::record(Duration span)
 {
     const double seconds = toSeconds(span);
     m_histogram(seconds);
--- a/src/state/requestmetrics.cpp
+++ b/src/state/requestmetrics.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Returns a number that differs between threads as far as there are numbers.
+// Returns a number that differs between threads unless their hashes collide.
 std::size_t threadNumber()
 {
     return std::hash<std::thread::id> {}(std::this_thread::get_id());
@@ -22,12 +22,12 @@
 
 } // namespace internal
 
-void RequestMetrics::note(Duration total, Duration atTarget)
+void RequestMetrics::record(Duration total, Duration atTarget)
 {
     Shard &shard = m_shards[internal::threadNumber() % ShardCount];
     const std::lock_guard lock(shard.mutex);
-    shard.total.note(total);
-    shard.added.note(std::max(Duration::zero(), total - atTarget));
+    shard.total.record(total);
+    shard.added.record(std::max(Duration::zero(), total - atTarget));
 }
 
 void RequestMetrics::write(MetricsText &metrics) const
--- a/src/state/servicestatecommands.cpp
+++ b/src/state/servicestatecommands.cpp
@@ -10,7 +10,8 @@
 namespace internal
 {
 
-constexpr Duration ShedMemory = Seconds(1);
+// How long after a shed all slots are regarded as in use.
+constexpr Duration ShedHoldTime = Seconds(1);
 
 ServiceHealthSettings healthSettings(const PeerId &self)
 {
@@ -19,8 +20,8 @@
     return settings;
 }
 
-// An account's limit is spread over several proxies. With the queue's own burst of a twentieth of a second, callers
-// that stay well below their limit were refused whenever two of their requests came close together.
+// An account's limit is divided among several proxies. With the queue's default burst of a twentieth of a second,
+// callers well below their limit would be rejected whenever two of their requests arrived close together.
 FairQueueSettings queueSettings()
 {
     FairQueueSettings settings;
@@ -48,7 +49,7 @@
     , m_health(m_healthSettings, seed)
     , m_queue(internal::queueSettings())
     , m_overload(OverloadSettings {})
-    , m_carriers { self.vm }
+    , m_assignedProxies { self.vm }
     , m_random(seed)
 {
 }
@@ -57,7 +58,7 @@
 
 Refusal ServiceState::refusal(ErrorKind kind, AccountIndex account, Instant now) const
 {
-    const int standard = errorAnswer(kind).retryAfterSeconds;
+    const int standard = errorInfo(kind).retryAfterSeconds;
     if (standard == 0) {
         return Refusal { kind, 0 };
     }
@@ -65,11 +66,11 @@
     return Refusal { kind, std::max(1, static_cast<int>(wait.count())) };
 }
 
-std::optional<Admitted> ServiceState::admit(RequestId request,
-                                            const Admission &admission,
-                                            const std::function<WaiterPtr()> &makeWaiter,
-                                            Instant now,
-                                            Deliveries &others)
+std::optional<AdmissionResult> ServiceState::admit(RequestId request,
+                                                   const Admission &admission,
+                                                   const std::function<WaiterPtr()> &makeWaiter,
+                                                   Instant now,
+                                                   Deliveries &otherDeliveries)
 {
     const std::lock_guard lock(m_mutex);
     const auto account = m_accounts.find(admission.account);
@@ -80,26 +81,27 @@
         return tl::make_unexpected(refusal(ErrorKind::NoTarget, account->second.index, now));
     }
     const AccountIndex index = account->second.index;
-    refuseExpired(now, others);
+    refuseExpired(now, otherDeliveries);
     if (!admission.extra) {
         const Result<void> queued = m_queue.enqueue(request, index, admission.route, admission.deadline, now);
         if (!queued) {
             return tl::make_unexpected(refusal(queued.error().kind, index, now));
         }
     }
-    m_pending.emplace(request, Pending { admission, index, nullptr, {} });
+    m_pending.emplace(request, PendingAttempt { admission, index, nullptr, {} });
     Deliveries deliveries;
     if (admission.extra) {
-        // Its request has had its turn. It would otherwise use up the account's rate: while targets are sick, callers
-        // well below their limit were refused for the retries made on their behalf.
+        // Its request has already left the queue once. If the attempt counted against the account's rate, callers well
+        // below their limit would be rejected because of retries made for them while targets are faulty.
         start(request, now, deliveries);
     }
     dispatch(now, deliveries);
-    // The attempt's own turn may have come at once: it has no waiter yet, so it is the delivery without one.
-    std::optional<Admitted> own;
+    // This attempt may have been granted or rejected already. It has no waiter yet, so its delivery is the one without
+    // a waiter.
+    std::optional<AdmissionResult> own;
     for (Delivery &delivery : deliveries) {
         if (delivery.waiter) {
-            others.push_back(std::move(delivery));
+            otherDeliveries.push_back(std::move(delivery));
         } else {
             own = std::move(delivery.admitted);
         }
@@ -110,20 +112,21 @@
     return own;
 }
 
-// The carriers see the same targets and can't see each other's requests there. While targets shed, all slots are taken:
-// a proxy that went on at its limits would take slots from those whose accounts are entitled to them, and weights would
-// hold within each proxy only. So for a moment after a shed each keeps to its part.
+// The assigned proxies use the same targets but can't see each other's requests there. While targets shed, all slots
+// are in use: a proxy that continued up to its limits would take slots from proxies whose accounts are entitled to
+// them, and weights would hold only within each proxy. So for a short time after a shed, each proxy uses only its own
+// fraction of the slots.
 bool ServiceState::hasRoom(Instant now) const
 {
-    const bool slotsAreTaken = now - m_lastShed < internal::ShedMemory;
-    const double part = std::max(1.0, m_ownPart * slotsInService());
-    if (slotsAreTaken && static_cast<double>(m_queue.running()) >= part) {
+    const bool slotsAreTaken = now - m_lastShed < internal::ShedHoldTime;
+    const double ownSlots = std::max(1.0, m_ownFraction * slotsInService());
+    if (slotsAreTaken && static_cast<double>(m_queue.running()) >= ownSlots) {
         return false;
     }
     return std::any_of(m_views.begin(), m_views.end(), &acceptsRequests);
 }
 
-Admitted ServiceState::grantFor(RequestId request, const Pending &pending, Instant now)
+AdmissionResult ServiceState::grantFor(RequestId request, const PendingAttempt &pending, Instant now)
 {
     const Admission &admission = pending.admission;
     std::optional<TargetIndex> target = admission.only;
@@ -147,9 +150,9 @@
 
 void ServiceState::dispatch(Instant now, Deliveries &deliveries)
 {
-    const std::vector<RequestId> parked = std::move(m_parked);
-    m_parked.clear();
-    for (const RequestId request : parked) {
+    const std::vector<RequestId> waitingForTarget = std::move(m_waitingForTarget);
+    m_waitingForTarget.clear();
+    for (const RequestId request : waitingForTarget) {
         start(request, now, deliveries);
     }
     while (m_queue.waiting() > 0 && hasRoom(now)) {
@@ -161,7 +164,7 @@
     }
 }
 
-// Returns true if some target in service isn't excluded: only then is there anything to wait for.
+// Returns true if some target in service isn't excluded. Otherwise, waiting would be useless.
 bool ServiceState::hasAllowedTarget(const Admission &admission) const
 {
     return std::any_of(m_views.begin(), m_views.end(), [&admission](const TargetView &view) {
@@ -170,19 +173,19 @@
     });
 }
 
-// Gives the attempt a target, or parks it: it has had its turn, but every target that it may go to is busy. A retry
-// excludes the targets that failed it, so this happens while others have room.
+// Grants a dequeued attempt a target, or keeps it waiting while every target that it may use is busy. A retry excludes
+// the targets where it failed, so it may have to wait while those targets have free slots.
 void ServiceState::start(RequestId request, Instant now, Deliveries &deliveries)
 {
     const auto found = m_pending.find(request);
     if (found == m_pending.end()) {
         return;
     }
-    Pending &pending = found->second;
+    PendingAttempt &pending = found->second;
     const bool mayWait = now < pending.admission.deadline && hasAllowedTarget(pending.admission);
-    Admitted admitted = grantFor(request, pending, now);
+    AdmissionResult admitted = grantFor(request, pending, now);
     if (!admitted && mayWait) {
-        m_parked.push_back(request);
+        m_waitingForTarget.push_back(request);
         return;
     }
     deliveries.push_back(Delivery { std::move(pending.waiter), admitted });
@@ -207,7 +210,7 @@
     }
 }
 
-void ServiceState::noteOutcomeOf(const Grant &grant, const Finished &finished, Instant now)
+void ServiceState::recordOutcome(const Grant &grant, const FinishedAttempt &finished, Instant now)
 {
     const auto position = m_positions.find(grant.target);
     if (position == m_positions.end()) {
@@ -236,10 +239,10 @@
         entry.reportedInFlight = finished.reportedInFlight;
         entry.reportedAt = now;
     }
-    if (finished.targetLeaving != entry.leavingBySelf && finished.result != AttemptResult::Cancelled) {
-        entry.leavingBySelf =
-            finished.targetLeaving || (entry.leavingBySelf && internal::countsAsFailure(finished.result));
-        m_health.setLeaving(entry.index, entry.leavingBySelf || entry.leavingByVmList);
+    if (finished.targetLeaving != entry.leavingByOwnReport && finished.result != AttemptResult::Cancelled) {
+        entry.leavingByOwnReport =
+            finished.targetLeaving || (entry.leavingByOwnReport && internal::countsAsFailure(finished.result));
+        m_health.setLeaving(entry.index, entry.leavingByOwnReport || entry.leavingByVmList);
     }
     if (view.inFlight > 0) {
         --view.inFlight;
@@ -247,11 +250,11 @@
     refreshView(position->second, now);
 }
 
-Deliveries ServiceState::finish(const Grant &grant, const Finished &finished, Instant now)
+Deliveries ServiceState::finish(const Grant &grant, const FinishedAttempt &finished, Instant now)
 {
     const std::lock_guard lock(m_mutex);
     Deliveries deliveries;
-    noteOutcomeOf(grant, finished, now);
+    recordOutcome(grant, finished, now);
     const auto pending = m_pending.find(grant.request);
     if (pending != m_pending.end() && pending->second.admission.extra) {
         m_queue.charge(pending->second.account, finished.slotTime);
@@ -267,9 +270,9 @@
 bool ServiceState::cancel(RequestId request, Instant now)
 {
     const std::lock_guard lock(m_mutex);
-    const auto parked = std::find(m_parked.begin(), m_parked.end(), request);
-    if (parked != m_parked.end()) {
-        m_parked.erase(parked);
+    const auto waitingForTarget = std::find(m_waitingForTarget.begin(), m_waitingForTarget.end(), request);
+    if (waitingForTarget != m_waitingForTarget.end()) {
+        m_waitingForTarget.erase(waitingForTarget);
         m_queue.finished(request, Duration {}, now);
     } else if (!m_queue.cancel(request, now)) {
         return false;
@@ -307,7 +310,7 @@
     m_queue.setTotalQueue(m_overload.update(capacity, m_queue.costModel().averageCost(), now));
 }
 
-void ServiceState::noteOutstanding(Instant now)
+void ServiceState::recordOutstanding(Instant now)
 {
     for (const TargetEntry &entry : m_targets) {
         if (entry.waitingSince.empty()) {
@@ -325,7 +328,7 @@
     Deliveries deliveries;
     {
         const std::lock_guard lock(m_mutex);
-        noteOutstanding(now);
+        recordOutstanding(now);
         m_health.tick(now);
         refreshViews(now);
         if (m_shares && now >= m_shares->leaseEnd()) {
@@ -357,13 +360,13 @@
     return m_retryBudget.trySpend();
 }
 
-void ServiceState::noteAnswered()
+void ServiceState::recordResponse()
 {
     const std::lock_guard lock(m_mutex);
     m_retryBudget.onSuccess();
 }
 
-void ServiceState::noteLatency(std::uint16_t route, Duration latency)
+void ServiceState::recordLatency(std::uint16_t route, Duration latency)
 {
     const std::lock_guard lock(m_mutex);
     m_hedgeDelays[route].recordLatency(latency);
--- a/src/state/servicestateconfigure.cpp
+++ b/src/state/servicestateconfigure.cpp
@@ -57,7 +57,7 @@
         inFlight[view.index] = view.inFlight;
     }
     m_targets = std::move(kept);
-    setMostInFlight();
+    setMaxInFlight();
     m_views.assign(m_targets.size(), TargetView {});
     m_positions.clear();
     for (std::size_t position = 0; position < m_targets.size(); ++position) {
@@ -69,12 +69,13 @@
     }
 }
 
-// All carriers use the same slots of a target. If each filled them alone, targets would shed most of what is sent.
-void ServiceState::setMostInFlight()
+// All assigned proxies share the slots of a target. If each proxy filled them alone, targets would shed the majority of
+// the requests.
+void ServiceState::setMaxInFlight()
 {
-    const std::uint32_t most = maxInFlight(m_slotsPerTarget, m_carriers.size());
+    const std::uint32_t maxInFlightPerProxy = maxInFlight(m_slotsPerTarget, m_assignedProxies.size());
     for (TargetEntry &entry : m_targets) {
-        entry.limit.setMaxLimit(most);
+        entry.limit.setMaxLimit(maxInFlightPerProxy);
     }
 }
 
@@ -105,7 +106,7 @@
         settings.self = m_healthSettings.self.vm;
         settings.incarnation = m_healthSettings.self.incarnation;
         m_shares.emplace(settings, now);
-        m_shares->setMembers(m_carriers, now);
+        m_shares->setMembers(m_assignedProxies, now);
     }
     for (const auto &[name, entry] : m_accounts) {
         m_shares->setAccount(entry.index, entry.row);
--- a/src/state/servicestateentries.h
+++ b/src/state/servicestateentries.h
@@ -7,7 +7,7 @@
 namespace mulberryplank
 {
 
-// A target as the service's state keeps it.
+// The state of one target.
 struct ServiceState::TargetEntry {
     TargetEntry(const Target &configured, TargetIndex targetIndex, std::uint32_t slots)
         : target(configured)
@@ -21,11 +21,11 @@
     TargetIndex index;
     Endpoint endpoint;
     ConcurrencyLimit limit;
-    bool leavingBySelf = false; // the target said so
+    bool leavingByOwnReport = false; // reported by the target itself
     bool leavingByVmList = false;
     std::optional<std::uint32_t> reportedInFlight;
     Instant reportedAt {};
-    std::multiset<Instant> waitingSince; // starts of attempts without an answer's first byte
+    std::multiset<Instant> waitingSince; // start times of attempts that have no first byte of a response yet
     std::uint64_t attempts = 0;
     std::uint64_t failures = 0;
 };
@@ -36,7 +36,7 @@
 };
 
 // An attempt between admit() and finish().
-struct ServiceState::Pending {
+struct ServiceState::PendingAttempt {
     Admission admission;
     AccountIndex account = 0;
     WaiterPtr waiter; // while queued
--- a/src/state/servicestateexchange.cpp
+++ b/src/state/servicestateexchange.cpp
@@ -1,4 +1,5 @@
-// Commands that bring in what others say: the VM list, probes, the other proxies that carry the service.
+// Commands that apply external information: the VM list, probes, and reports of the other proxies that are assigned the
+// service.
 #include <algorithm>
 
 #include "mulberryplank/state/servicestate.h"
@@ -7,7 +8,7 @@
 namespace mulberryplank
 {
 
-// Gives the queue this process's part of every account's limits and weight.
+// Passes this process's share of each account's limits and weight to the queue.
 void ServiceState::applyShares(Instant now)
 {
     for (const auto &[name, entry] : m_accounts) {
@@ -21,11 +22,11 @@
     const std::lock_guard lock(m_mutex);
     for (TargetEntry &entry : m_targets) {
         entry.leavingByVmList = std::find(hosts.begin(), hosts.end(), entry.target.host) != hosts.end();
-        m_health.setLeaving(entry.index, entry.leavingBySelf || entry.leavingByVmList);
+        m_health.setLeaving(entry.index, entry.leavingByOwnReport || entry.leavingByVmList);
     }
 }
 
-void ServiceState::noteProbe(
+void ServiceState::recordProbe(
     TargetIndex target, bool leaving, bool cold, std::optional<std::uint32_t> reportedInFlight, Instant now)
 {
     const std::lock_guard lock(m_mutex);
@@ -34,7 +35,7 @@
         return;
     }
     TargetEntry &entry = m_targets[position->second];
-    entry.leavingBySelf = leaving;
+    entry.leavingByOwnReport = leaving;
     m_health.setLeaving(target, leaving || entry.leavingByVmList);
     m_health.setCold(target, cold, now);
     if (reportedInFlight) {
@@ -44,7 +45,7 @@
     refreshView(position->second, now);
 }
 
-void ServiceState::noteProbeFailed(TargetIndex target, Duration latency, Instant now)
+void ServiceState::recordProbeFailure(TargetIndex target, Duration latency, Instant now)
 {
     const std::lock_guard lock(m_mutex);
     m_health.observe(Attempt { target, NoRoute, AttemptResult::ConnectFailed, latency }, now);
@@ -54,14 +55,14 @@
 {
     const std::lock_guard lock(m_mutex);
     m_health.setPeers(peers, now);
-    m_carriers = { m_healthSettings.self.vm };
+    m_assignedProxies = { m_healthSettings.self.vm };
     for (const PeerId &peer : peers) {
-        m_carriers.push_back(peer.vm);
+        m_assignedProxies.push_back(peer.vm);
     }
-    setMostInFlight();
+    setMaxInFlight();
     refreshViews(now);
     if (m_shares) {
-        m_shares->setMembers(m_carriers, now);
+        m_shares->setMembers(m_assignedProxies, now);
         applyShares(now);
     }
 }
@@ -74,13 +75,13 @@
     }
     m_shares->observe(m_queue.takeDemand(now));
     DemandReport report = m_shares->report(now);
-    m_ownPart = m_shares->capacityShare(slotsInService());
+    m_ownFraction = m_shares->capacityShare(slotsInService());
     m_queue.setTypicalCost(m_shares->typicalCost());
     applyShares(now);
     return report;
 }
 
-std::optional<DemandReport> ServiceState::leaveShares(Instant now)
+std::optional<DemandReport> ServiceState::withdrawDemand(Instant now)
 {
     const std::lock_guard lock(m_mutex);
     if (!m_shares) {
--- a/src/state/servicestatetest.cpp
+++ b/src/state/servicestatetest.cpp
@@ -60,7 +60,7 @@
         deliverAll(state.configure(proofService(), targetsOf(count), oneRow(), now));
     }
 
-    std::optional<Admitted> admit(std::vector<TargetIndex> excluded = {})
+    std::optional<AdmissionResult> admit(std::vector<TargetIndex> excluded = {})
     {
         Admission admission;
         admission.account = AccountName("shop");
@@ -68,7 +68,7 @@
         admission.deadline = now + Seconds(10);
         admission.excluded = std::move(excluded);
         const auto makeWaiter = [this] {
-            return WaiterPtr(new Waiter([this](Admitted admitted) {
+            return WaiterPtr(new Waiter([this](AdmissionResult admitted) {
                 if (admitted) {
                     delivered.push_back(*admitted);
                 } else {
@@ -76,27 +76,28 @@
                 }
             }));
         };
-        Deliveries others;
-        const auto admitted = state.admit(nextRequest++, admission, makeWaiter, now, others);
-        deliverAll(std::move(others));
+        Deliveries otherDeliveries;
+        const auto admitted = state.admit(nextRequest++, admission, makeWaiter, now, otherDeliveries);
+        deliverAll(std::move(otherDeliveries));
         return admitted;
     }
 
     void finish(const Grant &grant)
     {
-        Finished finished;
+        FinishedAttempt finished;
         finished.latency = Millis(4);
         finished.slotTime = Millis(4);
         deliverAll(state.finish(grant, finished, now));
     }
 };
 
-// Failure: with as many callers as free slots, most requests were answered no-target although no target had shed.
-TEST(ServiceState, requestsBeyondTheRoomOfTargetsInSlowStartWait)
+// Guards against no-target errors for most requests when there are as many callers as free slots and no target has
+// shed.
+TEST(ServiceState, requestsBeyondTheCapacityOfTargetsInSlowStartAreQueued)
 {
     configure(TargetCount - 1);
     deliverAll(state.tick(now));
-    configure(TargetCount); // the sixth is new to a running process, so it starts slowly
+    configure(TargetCount); // the sixth is added to a running process, so it is in slow start
     now += Millis(100);
     deliverAll(state.tick(now));
     std::vector<Grant> running;
@@ -115,8 +116,8 @@
     LONGS_EQUAL(TargetCount * Slots, running.size() + delivered.size());
 }
 
-// Failure: a request whose every target had failed it got its answer only at its deadline.
-TEST(ServiceState, attemptThatExcludesEveryTargetIsRefusedAtOnce)
+// Guards against holding a request until its deadline after it has failed at every target.
+TEST(ServiceState, attemptThatExcludesEveryTargetIsRejectedImmediately)
 {
     configure(2);
     const TargetIndex one = (*admit())->target;
@@ -126,8 +127,8 @@
     CHECK_FALSE(refusedAtOnce->has_value());
 }
 
-// Failure: a retry was refused although another target would have been free a moment later.
-TEST(ServiceState, retryWaitsForATargetThatItMayGoTo)
+// Guards against rejecting a retry although another target becomes free shortly afterwards.
+TEST(ServiceState, retryWaitsForATargetThatItDoesNotExclude)
 {
     configure(2);
     std::vector<Grant> running;
