--- a/include/mulberryplank/base/eventthrottle.h
+++ b/include/mulberryplank/base/eventthrottle.h
@@ -8,8 +8,8 @@
 namespace mulberryplank
 {
 
-// Keeps a flood of failures from becoming a flood of log lines: lets one through in each interval and counts the
-// others. Not synchronized.
+// Limits the number of log lines during a series of failures: passes one event per interval and counts the suppressed
+// ones. Thread-compatible.
 class EventThrottle
 {
 public:
@@ -18,7 +18,7 @@
     {
     }
 
-    // Returns how many were kept back since the last one that went through, or nothing if this one is kept back.
+    // Returns the number of events suppressed since the last one that passed, or nothing if this event is suppressed.
     std::optional<std::uint64_t> pass(Instant now)
     {
         if (m_last != Instant {} && now - m_last < m_interval) {
--- a/include/mulberryplank/state/atmostoncestate.h
+++ b/include/mulberryplank/state/atmostoncestate.h
@@ -7,8 +7,8 @@
 namespace mulberryplank
 {
 
-// The process's AtMostOnceRegistry under its lock. One shard is enough: only requests that carry an Idempotency-Key
-// come here, and each holds the lock for a look-up.
+// The process's AtMostOnceRegistry with a lock. Thread-safe. One shard is enough: only requests with an Idempotency-Key
+// use it, and each holds the lock for one lookup.
 class AtMostOnceState
 {
 public:
@@ -22,7 +22,7 @@
     AtMostOnceState(const AtMostOnceState &) = delete;
     AtMostOnceState &operator=(const AtMostOnceState &) = delete;
 
-    // Each does what the function of the same name in AtMostOnceRegistry does.
+    // These functions call those of the same name in AtMostOnceRegistry.
     IdempotencyToken token(Instant now) const
     {
         const std::lock_guard lock(m_mutex);
--- a/src/base/errorkind.cpp
+++ b/src/base/errorkind.cpp
@@ -9,7 +9,7 @@
 namespace internal
 {
 
-// Order follows the enumeration; errorkindtest.cpp checks that no row is missing or out of place.
+// Rows are in the order of the enumeration; errorkindtest.cpp checks that none is missing or out of place.
 constexpr std::array ErrorTable {
     ErrorInfo { ErrorKind::BadRequest, "bad-request", 400, Outcome::NotRun, false, 0 },
     ErrorInfo { ErrorKind::HeaderTooLarge, "header-too-large", 431, Outcome::NotRun, false, 0 },
--- a/src/state/configstatecommands.cpp
+++ b/src/state/configstatecommands.cpp
@@ -8,7 +8,7 @@
 namespace internal
 {
 
-// Returns what keeps the update from following on what was applied; nothing when they follow.
+// Returns the reason why `update` doesn't continue the records applied up to `position`, or nothing if it does.
 std::optional<Error> continuityError(const ConfigUpdate &update, const ConfigState::Position &position)
 {
     const Offset end = update.from + update.records.size();
@@ -73,8 +73,8 @@
     return outcome;
 }
 
-// Returns the services whose views the record may change, seen from before it is applied: a target that moves touches
-// the service that it leaves.
+// Returns the services whose views the record may change. Must be called before the record is applied: a target that
+// moves to another service also changes the service that it leaves.
 std::vector<ServiceName> ConfigState::servicesChangedBy(const std::string &record) const
 {
     std::vector<ServiceName> names;
@@ -135,7 +135,7 @@
     shard.views.erase(name);
 }
 
-// Builds the view outside the shard's lock: a large service would keep requests waiting otherwise.
+// Builds the view without holding the shard's lock; otherwise, a large service would block requests.
 void ConfigState::rebuildView(const ServiceName &name)
 {
     Shard &shard = shardOf(name);
--- a/src/state/configstateconcurrenttest.cpp
+++ b/src/state/configstateconcurrenttest.cpp
@@ -17,7 +17,7 @@
 constexpr int Readers = 4;
 constexpr int SnapshotInterval = 50; // edits
 
-// Edit number `n` sets the service and its target in one go, so that both name the same edit.
+// Returns edit `number`, which sets the service and its target in one record, so that both name the same edit.
 std::string makeEdit(int number)
 {
     const Version base = static_cast<Version>(number);
@@ -28,7 +28,7 @@
     return record("e" + std::to_string(number), { { changed, false }, { moved, false } });
 }
 
-// What a reader found errors; CppUTest's checks belong to the main thread.
+// Reads the state and counts inconsistencies. CppUTest's checks may only be used on the main thread.
 class Reader
 {
 public:
@@ -42,8 +42,8 @@
         const ConfigState::Position before = m_state.position();
         const ServiceViewPtr view = m_state.service(ServiceName("s"));
         const Offset number = view ? view->service.floorCount : 0;
-        m_errors += number < before.applied ? 1 : 0; // a view from before an edit that was in force
-        m_errors += number < m_newest ? 1 : 0; // a step back
+        m_errors += number < before.applied ? 1 : 0; // the view is older than an edit in force
+        m_errors += number < m_newest ? 1 : 0; // the view is older than the previous one
         m_errors += view && (view->targets.size() != 1 || view->targets.front().port != number) ? 1 : 0;
         m_newest = number;
         const auto update = m_state.updateSince(before.applied > 2 ? before.applied - 2 : 0);
@@ -78,7 +78,7 @@
 
 TEST_GROUP(ConfigStateConcurrent) {};
 
-// Failure: a request is judged by half an edit, or by an older one than a request before it.
+// Guards against handling a request with a partially applied edit, or with an older edit than an earlier request.
 TEST(ConfigStateConcurrent, readersSeeAtomicEditsInOrder)
 {
     ConfigState state;
--- a/src/state/configstatequeries.cpp
+++ b/src/state/configstatequeries.cpp
@@ -20,7 +20,8 @@
             return found->second;
         }
     }
-    // Built and stored under the table's lock: an edit between the two would leave a view from before it for good.
+    // The view is built and stored under the table's lock. Otherwise, an edit between the two would leave an outdated
+    // view in place permanently.
     const std::shared_lock lock(m_tableMutex);
     ServiceViewPtr view = buildView(name);
     if (view) {
--- a/src/state/configstatetest.cpp
+++ b/src/state/configstatetest.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-// The platform's log: keeps the records from `first` on.
+// The platform's log, which retains the records from `first` on.
 struct FakeLog {
     std::vector<std::string> records;
     Offset first = 0;
@@ -41,7 +41,7 @@
     }
 };
 
-// What a proxy does with a page of the log, without the waiting.
+// Reads a page of the log and applies it as a proxy does, but without waiting.
 void readLog(ConfigState &state, const FakeLog &log, std::size_t maxRecords)
 {
     const auto position = state.position();
@@ -115,7 +115,7 @@
 
 TEST(ConfigState, everyUpdatePathConvergesToTheSameTable)
 {
-    CHECK_TRUE(rc::check("proxies that read, hear, restart and publish in any order agree, and never go back", [] {
+    CHECK_TRUE(rc::check("proxies that read, receive, restart and publish in any order agree, and never go back", [] {
         constexpr std::size_t Proxies = 4;
         constexpr std::size_t TailBytes = 2'000;
         const auto edits = generateLog();
@@ -132,7 +132,7 @@
             const std::size_t other = draw.below(Proxies);
             const Offset before = proxies[self]->applied();
             switch (draw.below(8)) {
-            case 0: // a restart forgets everything
+            case 0: // a restart loses all state
                 proxies[self] = std::make_unique<ConfigState>(TailBytes);
                 break;
             case 1:
@@ -169,7 +169,7 @@
             RC_ASSERT(digestOf(*proxies[self]) == reference.digest());
             checkViews(*proxies[self]);
         }
-        // Once the faults are over, every edit in the log is in force everywhere.
+        // When the faults end, every edit in the log comes into force in every proxy.
         for (const auto &proxy : proxies) {
             for (std::size_t reads = 0; reads < log.records.size() + 2; ++reads) {
                 readLog(*proxy, log, 5);
@@ -179,8 +179,8 @@
     }));
 }
 
-// The log is made anew, or loses its tail and goes on with other records.
-// A reader that follows by offset alone would take up in the middle of a history that it has never seen.
+// Guards against following a log that was recreated, or that lost its tail and continued with different records. A
+// proxy that compares only offsets would continue in the middle of an unrelated history.
 TEST(ConfigState, logThatLostItsTailIsDetectedAndNotApplied)
 {
     FakeLog log;
@@ -194,8 +194,8 @@
     CHECK_TRUE(checkLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::RolledBack);
 }
 
-// Some peers follow the log made anew, others the old one; the offsets meet.
-// Mixed records would give a table that no log ever held.
+// Guards against mixing records of two logs: some peers follow the recreated log and some the old one, at the same
+// offsets. The result would be a table that no log ever contained.
 TEST(ConfigState, updateFromAnotherLogIsRejected)
 {
     const std::string first = record("1", { { account("a"), false } });
@@ -214,7 +214,7 @@
     CHECK_TRUE(m_state.load(std::move(foreignTable)).error().kind == ErrorKind::Conflict);
 }
 
-// A page answers with the records after a hole, for instance when the log's store lost some in the middle.
+// Guards against applying a page with a gap, for instance after the log's store lost records in the middle.
 TEST(ConfigState, pageWithAGapIsNotApplied)
 {
     const auto logCheck = checkLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
--- a/src/state/gatewaymetrics.cpp
+++ b/src/state/gatewaymetrics.cpp
@@ -11,7 +11,7 @@
 
 const std::string Other = "other";
 
-// Returns `name` if it has its place in `known` already or there is room for one more.
+// Returns `name` if `known` contains it or has fewer than `bound` entries, otherwise "other".
 template<typename Container>
 const std::string &boundedName(const Container &known, const std::string &name, std::size_t bound)
 {
--- a/src/state/gatewaymetricstest.cpp
+++ b/src/state/gatewaymetricstest.cpp
@@ -48,7 +48,8 @@
     STRCMP_CONTAINS("attempt_seconds_count{service=\"s\"} 1\n", text.c_str());
 }
 
-// Targets are replaced all the time, each under a new name; the process lives for months.
+// Guards against unbounded growth of the metrics: targets are replaced continually, each under a new name, and the
+// process runs for months.
 TEST(GatewayMetrics, NamesBeyondTheBoundAreCountedAsOther)
 {
     MetricBounds bounds;
--- a/src/state/latencyseries.cpp
+++ b/src/state/latencyseries.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// Four to five buckets for each power of ten: a quantile is read off within a third of its value.
+// Four to five buckets per power of ten, so that a quantile is accurate to within a third of its value.
 constexpr unsigned BucketCount = 32;
 constexpr double MinSeconds = 0.00001;
 constexpr double MaxSeconds = 100;
--- a/src/state/requestmetrics.cpp
+++ b/src/state/requestmetrics.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Returns a number that differs between threads as far as there are numbers.
+// Returns a number that differs between threads unless their hashes collide.
 std::size_t threadNumber()
 {
     return std::hash<std::thread::id> {}(std::this_thread::get_id());
--- a/src/state/servicestatecommands.cpp
+++ b/src/state/servicestatecommands.cpp
@@ -10,6 +10,7 @@
 namespace internal
 {
 
+// How long after a shed all slots are regarded as in use.
 constexpr Duration ShedHoldTime = Seconds(1);
 
 ServiceHealthSettings healthSettings(const PeerId &self)
@@ -19,8 +20,8 @@
     return settings;
 }
 
-// An account's limit is spread over several proxies. With the queue's own burst of a twentieth of a second, callers
-// that stay well below their limit were refused whenever two of their requests came close together.
+// An account's limit is divided among several proxies. With the queue's default burst of a twentieth of a second,
+// callers well below their limit would be rejected whenever two of their requests arrived close together.
 FairQueueSettings queueSettings()
 {
     FairQueueSettings settings;
@@ -90,12 +91,13 @@
     m_pending.emplace(request, PendingAttempt { admission, index, nullptr, {} });
     Deliveries deliveries;
     if (admission.extra) {
-        // Its request has had its turn. It would otherwise use up the account's rate: while targets are sick, callers
-        // well below their limit were refused for the retries made on their behalf.
+        // Its request has already left the queue once. If the attempt counted against the account's rate, callers well
+        // below their limit would be rejected because of retries made for them while targets are faulty.
         start(request, now, deliveries);
     }
     dispatch(now, deliveries);
-    // The attempt's own turn may have come at once: it has no waiter yet, so it is the delivery without one.
+    // This attempt may have been granted or rejected already. It has no waiter yet, so its delivery is the one without
+    // a waiter.
     std::optional<AdmissionResult> own;
     for (Delivery &delivery : deliveries) {
         if (delivery.waiter) {
@@ -110,9 +112,10 @@
     return own;
 }
 
-// The carriers see the same targets and can't see each other's requests there. While targets shed, all slots are taken:
-// a proxy that went on at its limits would take slots from those whose accounts are entitled to them, and weights would
-// hold within each proxy only. So for a moment after a shed each keeps to its ownSlots.
+// The assigned proxies use the same targets but can't see each other's requests there. While targets shed, all slots
+// are in use: a proxy that continued up to its limits would take slots from proxies whose accounts are entitled to
+// them, and weights would hold only within each proxy. So for a short time after a shed, each proxy uses only its own
+// fraction of the slots.
 bool ServiceState::hasRoom(Instant now) const
 {
     const bool slotsAreTaken = now - m_lastShed < internal::ShedHoldTime;
@@ -161,7 +164,7 @@
     }
 }
 
-// Returns true if some target in service isn't excluded: only then is there anything to wait for.
+// Returns true if some target in service isn't excluded. Otherwise, waiting would be useless.
 bool ServiceState::hasAllowedTarget(const Admission &admission) const
 {
     return std::any_of(m_views.begin(), m_views.end(), [&admission](const TargetView &view) {
@@ -170,8 +173,8 @@
     });
 }
 
-// Gives the attempt a target, or parks it: it has had its turn, but every target that it may go to is busy. A retry
-// excludes the targets that failed it, so this happens while otherDeliveries have room.
+// Grants a dequeued attempt a target, or keeps it waiting while every target that it may use is busy. A retry excludes
+// the targets where it failed, so it may have to wait while those targets have free slots.
 void ServiceState::start(RequestId request, Instant now, Deliveries &deliveries)
 {
     const auto found = m_pending.find(request);
--- a/src/state/servicestateconfigure.cpp
+++ b/src/state/servicestateconfigure.cpp
@@ -69,8 +69,8 @@
     }
 }
 
-// All carriers use the same slots of a target. If each filled them alone, targets would shed maxInFlightPerProxy of
-// what is sent.
+// All assigned proxies share the slots of a target. If each proxy filled them alone, targets would shed the majority of
+// the requests.
 void ServiceState::setMaxInFlight()
 {
     const std::uint32_t maxInFlightPerProxy = maxInFlight(m_slotsPerTarget, m_assignedProxies.size());
--- a/src/state/servicestateexchange.cpp
+++ b/src/state/servicestateexchange.cpp
@@ -1,4 +1,5 @@
-// Commands that bring in what others say: the VM list, probes, the other proxies that carry the service.
+// Commands that apply external information: the VM list, probes, and reports of the other proxies that are assigned the
+// service.
 #include <algorithm>
 
 #include "mulberryplank/state/servicestate.h"
@@ -7,7 +8,7 @@
 namespace mulberryplank
 {
 
-// Gives the queue this process's part of every account's limits and weight.
+// Passes this process's share of each account's limits and weight to the queue.
 void ServiceState::applyShares(Instant now)
 {
     for (const auto &[name, entry] : m_accounts) {
--- a/src/state/servicestatetest.cpp
+++ b/src/state/servicestatetest.cpp
@@ -91,12 +91,13 @@
     }
 };
 
-// Failure: with as many callers as free slots, most requests were answered no-target although no target had shed.
+// Guards against no-target errors for most requests when there are as many callers as free slots and no target has
+// shed.
 TEST(ServiceState, requestsBeyondTheCapacityOfTargetsInSlowStartAreQueued)
 {
     configure(TargetCount - 1);
     deliverAll(state.tick(now));
-    configure(TargetCount); // the sixth is new to a running process, so it starts slowly
+    configure(TargetCount); // the sixth is added to a running process, so it is in slow start
     now += Millis(100);
     deliverAll(state.tick(now));
     std::vector<Grant> running;
@@ -115,7 +116,7 @@
     LONGS_EQUAL(TargetCount * Slots, running.size() + delivered.size());
 }
 
-// Failure: a request whose every target had failed it got its answer only at its deadline.
+// Guards against holding a request until its deadline after it has failed at every target.
 TEST(ServiceState, attemptThatExcludesEveryTargetIsRejectedImmediately)
 {
     configure(2);
@@ -126,7 +127,7 @@
     CHECK_FALSE(refusedAtOnce->has_value());
 }
 
-// Failure: a retry was refused although another target would have been free a moment later.
+// Guards against rejecting a retry although another target becomes free shortly afterwards.
 TEST(ServiceState, retryWaitsForATargetThatItDoesNotExclude)
 {
     configure(2);
