--- a/src/app/command.cpp
+++ b/src/app/command.cpp
@@ -200,8 +200,7 @@
         }
     }
     printColumns(lines, stream);
-    stream << "\nExit codes: 0: done; 1: refused, or needs attention; 2: invalid usage; 3: fleet or platform "
-              "unavailable;\n"
+    stream << "\nEnds with 0: done; 1: refused, or needs attention; 2: wrong use; 3: fleet or platform away;\n"
            << "4: accepted, but not in force everywhere within the time given.\n";
 }
 
--- a/src/app/commanditems.cpp
+++ b/src/app/commanditems.cpp
@@ -297,10 +297,8 @@
           "import",
           "FILE",
           "set the services in a CSV file",
-          editOptions(
-              { switchOption("dry-run", "Print the difference and send nothing."),
-                fileOption("routes",
-                           "CSV file of these services' routes; without one the services keep their routes.") }),
+          editOptions({ switchOption("dry-run", "Print the difference and send nothing."),
+                        fileOption("routes", "CSV file of these services' routes; without one they keep theirs.") }),
           1,
           1,
           importServicesCommand },
--- a/src/app/commandparts.cpp
+++ b/src/app/commandparts.cpp
@@ -52,7 +52,7 @@
           "IP:PORT,...",
           std::nullopt,
           std::string(EndpointAllowed) + "; several with commas between",
-          "Addresses for operators of one or more proxies; if one can't be reached, the next is tried.",
+          "Addresses for operators of one or more proxies; the next is asked where one can't be reached.",
           [](const std::string &value) {
               return parseEndpoints(value).has_value();
           } },
@@ -60,11 +60,11 @@
           "FILE",
           std::nullopt,
           "readable file with one key a line, at least 32 characters each, no blanks",
-          "File with operator's keys; the first one is sent to the proxy.",
+          "Operator's key; the first in the file is shown to the proxy.",
           [](const std::string &value) {
               return readKeyFile(value).has_value();
           } },
-        { "timeout-ms", "MS", "10000", MillisAllowed, "Maximum duration of one request.", isMillis },
+        { "timeout-ms", "MS", "10000", MillisAllowed, "The most that one request may take.", isMillis },
     };
     options.insert(options.end(), more.begin(), more.end());
     return options;
--- a/src/app/commandview.cpp
+++ b/src/app/commandview.cpp
@@ -190,16 +190,16 @@
         return parseEndpoint(value).has_value();
     };
     return { { "proxy", "IP:PORT", std::nullopt, EndpointAllowed, "Address for callers of any proxy.", accepts },
-             fileOption("account-file", "File whose first line is ACCOUNT.SECRET, as the account's callers send it."),
+             fileOption("account-file", "File whose first line is ACCOUNT.SECRET, as the account's callers show it."),
              *timeout,
-             switchOption("json", "Print the response as it is.") };
+             switchOption("json", "Print the answer as it is.") };
 }
 
 } // namespace
 
 std::vector<CommandInfo> viewCommands()
 {
-    const OptionInfo asJson = switchOption("json", "Print the response as it is.");
+    const OptionInfo asJson = switchOption("json", "Print the answer as it is.");
     return {
         { "locate",
           "",
@@ -222,7 +222,7 @@
         { "status",
           "",
           "",
-          "print a summary on one screen; exits with 1 if something needs attention",
+          "print what matters on one screen; ends with 1 where something needs attention",
           clientOptions({ asJson }),
           0,
           0,
--- a/src/app/gatewayqueries.cpp
+++ b/src/app/gatewayqueries.cpp
@@ -119,14 +119,14 @@
     text.single("config_version", "gauge", "Version of the configuration in force.", toDouble(versionInForce()));
     text.single("target_list_age_seconds",
                 "gauge",
-                "Seconds since the list of targets was read from the store; -1 before the first read.",
+                "Since the list of targets was read from the store; -1 before it was.",
                 listRead ? toSeconds(Clock::now() - *listRead) : -1);
     text.single(
-        "store_answers", "gauge", "1 while the store responds to this process.", m_discovery->storeResponds() ? 1 : 0);
+        "store_answers", "gauge", "1 while the store answers this process.", m_discovery->storeResponds() ? 1 : 0);
     text.single("store_calls_total", "counter", "Calls to the store.", toDouble(m_store.calls()));
     text.single("members", "gauge", "Gateways that this one knows, itself included.", toDouble(members().size()));
-    text.single("entries", "gauge", "Gateways that callers are directed to.", toDouble(m_ingressMembers.size()));
-    text.single("log_lines_dropped_total", "counter", "Log lines that were dropped.", toDouble(m_linesDropped()));
+    text.single("entries", "gauge", "Gateways that callers are named.", toDouble(m_ingressMembers.size()));
+    text.single("log_lines_dropped_total", "counter", "Lines that the log dropped.", toDouble(m_linesDropped()));
     return text.text();
 }
 
@@ -134,45 +134,45 @@
 {
     using internal::toDouble;
     const ForwardCounters &counters = m_gateway.forward.counters;
-    text.single("in_flight", "gauge", "Requests in progress.", toDouble(m_gateway.inFlight));
+    text.single("in_flight", "gauge", "Requests under way.", toDouble(m_gateway.inFlight));
     text.single("caller_connections", "gauge", "Open connections of callers.", toDouble(m_gateway.connections));
     text.single("connections_refused_total",
                 "counter",
-                "Connections of callers rejected beyond the limit, to be retried later.",
+                "Connections of callers beyond the bound, each told to come back.",
                 toDouble(m_gateway.connectionsRefused));
     text.single("accept_errors_total",
                 "counter",
-                "Connections that could not be accepted, mostly for lack of file descriptors.",
+                "Connections that could not be taken, mostly for lack of descriptors.",
                 toDouble(m_gateway.acceptErrors));
     text.single("retries_total", "counter", "Attempts after a failed one.", toDouble(counters.retries));
-    text.single("hedges_total", "counter", "Attempts started in parallel to a slow one.", toDouble(counters.hedges));
+    text.single("hedges_total", "counter", "Attempts beside a slow one.", toDouble(counters.hedges));
     text.single("budget_refused_total",
                 "counter",
-                "Further attempts denied by the retry budget.",
+                "Further attempts that the budget did not allow.",
                 toDouble(counters.budgetRefused));
     text.single("budget_lent_total",
                 "counter",
-                "Further attempts of the retry budget lent to other gateways.",
+                "Further attempts of the budget that other gateways were lent.",
                 toDouble(counters.budgetLent));
     text.single("budget_borrowed_total",
                 "counter",
-                "Further attempts of the retry budget borrowed from other gateways.",
+                "Further attempts of the budget that other gateways lent this one.",
                 toDouble(counters.budgetBorrowed));
     text.single("target_connects_total", "counter", "New connections to targets.", toDouble(counters.connects));
     text.single("foreign_answers_total",
                 "counter",
-                "Responses of targets that belong to another request and were not forwarded.",
+                "Answers of targets to some other request, not passed on.",
                 toDouble(counters.mismatchedResponses));
 }
 
 void GatewayProcess::writeServiceMetrics(MetricsText &text) const
 {
     const Instant now = Clock::now();
-    text.family("budget_left", "gauge", "Further attempts currently left to a service.");
+    text.family("budget_left", "gauge", "Further attempts that a service has left at the moment.");
     for (const auto &[name, known] : m_services) {
         text.sample(known->budget.left(now), { { "service", name.value() } });
     }
-    text.family("targets", "gauge", "Targets of a service, by their state as seen by this process.");
+    text.family("targets", "gauge", "Targets of a service, by what this process thinks of them.");
     for (const auto &[name, known] : m_services) {
         const TargetCounts counts = known->balancer.counts();
         text.sample(counts.suspected, { { "service", name.value() }, { "state", "suspected" } });
--- a/src/app/statusview.cpp
+++ b/src/app/statusview.cpp
@@ -126,11 +126,11 @@
     };
     addIf(!isTrue(status, "ready"), "the proxy is not ready");
     addIf(isTrue(status, "draining"), "the proxy is draining");
-    addIf(!isTrue(status, "log_reachable"), "the log service does not respond");
+    addIf(!isTrue(status, "log_reachable"), "the log service does not answer");
     addIf(findings.lag > MaxNormalLag, "the configuration is behind that of other proxies");
     addIf(findings.members.contains("suspect"), "proxies are suspected");
     addIf(findings.ejected > 0, "targets are ejected");
-    addIf(!findings.floors.empty(), "floors keep faulty targets in service");
+    addIf(!findings.floors.empty(), "floors keep sick targets in service");
     return attention;
 }
 
@@ -196,8 +196,8 @@
     }
     text << "proxy: " << fieldText(status, "vm") << "\n";
     text << "configuration: " << fieldText(status, "applied") << " records applied, " << findings.lag
-         << " behind the most advanced proxy\n";
-    text << "log service: " << (internal::isTrue(status, "log_reachable") ? "responds" : "does not respond") << "\n";
+         << " behind the farthest proxy\n";
+    text << "log service: " << (internal::isTrue(status, "log_reachable") ? "answers" : "does not answer") << "\n";
     text << "proxies: " << findings.members["alive"] << " alive, " << findings.members["suspect"] << " suspected, "
          << findings.members["leaving"] << " leaving, " << findings.members["dead"] << " dead\n";
     internal::addList(text,
