--- a/bench/carrierreports.cpp
+++ b/bench/carrierreports.cpp
@@ -1,5 +1,5 @@
-// Measures the reports that the carriers of one service send each other: their size, how many are sent, and what they
-// cost. Prints JSON: bench-carrierreports [--out FILE]
+// Measures the reports that the assignedPeers of one service send each other: their size, how many are sent, and what
+// they cost. Prints JSON: bench-carrierreports [--out FILE]
 #include <algorithm>
 #include <fstream>
 #include <iostream>
@@ -21,7 +21,8 @@
 namespace
 {
 
-// One report of evidence between two carriers of a typical service, as sealed for the wire without UDP and IP headers.
+// One report of evidence between two assignedPeers of a typical service, as sealed for the wire without UDP and IP
+// headers.
 boost::json::object evidenceReport(std::size_t targets, std::size_t peers)
 {
     EvidenceReport report;
@@ -39,10 +40,10 @@
     };
     const std::string busy = sealed(report);
     const double sealing = microseconds(2'000, [&] {
-        kept = kept + sealed(report).size();
+        optimizerSink = optimizerSink + sealed(report).size();
     });
     const double unsealing = microseconds(2'000, [&] {
-        kept = kept + unseal(busy, { FleetKey })->payload.size();
+        optimizerSink = optimizerSink + unseal(busy, { FleetKey })->payload.size();
     });
     report.evidence.clear();
     return { { "targets", targets },
@@ -61,8 +62,8 @@
     DemandBench(std::size_t accounts, std::size_t peers)
         : m_accounts(accounts)
         , m_peers(peers)
-        , m_transport(m_context, keyedTransport(), m_events)
-        , m_receiver(m_context, keyedTransport(), m_events)
+        , m_transport(m_context, keyedTransportSettings(), m_events)
+        , m_receiver(m_context, keyedTransportSettings(), m_events)
         , m_exchange(m_context, m_services, m_transport, m_events)
         , m_state(new ServiceState(serviceName(0), Self, FailureDomain("hall-0"), 1, m_events))
     {
@@ -81,15 +82,15 @@
         }
         deliverAll(m_state->configure(serviceOf(0), targets, rows, m_now));
         m_services.put(serviceName(0), ServedService { m_state, nullptr });
-        std::vector<AssignedPeer> carriers;
+        std::vector<AssignedPeer> assignedPeers;
         std::vector<PeerId> ids;
         for (std::size_t number = 1; number <= peers; ++number) {
             const Member member = memberOf(number);
             ids.push_back(PeerId { member.vm, member.incarnation });
-            carriers.push_back(AssignedPeer { ids.back(), m_receiver.advertised() });
+            assignedPeers.push_back(AssignedPeer { ids.back(), m_receiver.advertised() });
         }
         m_state->setPeers(ids, m_now);
-        m_exchange.setPeers(serviceName(0), carriers);
+        m_exchange.setPeers(serviceName(0), assignedPeers);
     }
 
     boost::json::object run()
@@ -98,12 +99,12 @@
         std::uint64_t largest = 0;
         const double begin = processorSeconds();
         for (int step = 0; step < Steps; ++step) {
-            callOnce();
+            sendRequestFromEveryAccount();
             m_now += Millis(100);
             const std::uint64_t before = m_transport.bytesSent();
             m_exchange.tick(m_now);
             m_context.restart();
-            m_context.run_for(CallsTime);
+            m_context.run_for(CallCompletionTime);
             const std::uint64_t bytes = (m_transport.bytesSent() - before) / m_peers;
             reports += bytes > 0 ? 1 : 0;
             largest = std::max(largest, bytes);
@@ -120,11 +121,11 @@
 
 private:
     static constexpr int Steps = 50;
-    static constexpr Millis CallsTime { 15 }; // for the calls of one step to end
+    static constexpr Millis CallCompletionTime { 15 }; // for the calls of one step to end
     inline static const PeerId Self { VmName("vm-10000"), 1 };
 
     // Every account calls once, and is answered at once.
-    void callOnce()
+    void sendRequestFromEveryAccount()
     {
         for (std::size_t number = 0; number < m_accounts; ++number) {
             Admission admission;
--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,7 +1,7 @@
 // Measures the table of the configuration: bytes per item, and what an edit, a snapshot and a digest cost as the table
 // grows. bench-config [--out FILE] [--rows N]
 // bench-config --peak publish-whole|publish-parts|load-whole|load-parts [--rows N] tells instead the peak of the
-// process's resident memory over that of its table alone, one way in a process of its own.
+// process's resident memory over that of its table alone, one variant in a process of its own.
 #include <malloc.h>
 
 #include <chrono>
@@ -41,10 +41,10 @@
 }
 
 // Applies items in edits of many, and tells what they take.
-class Filler
+class TableFiller
 {
 public:
-    explicit Filler(ConfigTable &table)
+    explicit TableFiller(ConfigTable &table)
         : m_table(table)
     {
     }
@@ -94,7 +94,7 @@
 // Fills a table with `rows` rows and as many accounts, and targets and services in proportion.
 void fillAll(ConfigTable &table, std::size_t rows)
 {
-    Filler filler(table);
+    TableFiller filler(table);
     const std::size_t services = std::max<std::size_t>(1, rows * 3'500 / 220'000);
     filler.fill(services, [](std::size_t number) {
         Service service;
@@ -143,7 +143,7 @@
     std::ofstream(path, std::ios::app) << part << '\n';
 }
 
-boost::json::object peakOf(const std::string &way, std::size_t rows, const std::string &path)
+boost::json::object measurePeak(const std::string &variant, std::size_t rows, const std::string &path)
 {
     std::ofstream(path).flush();
     double before = 0;
@@ -152,7 +152,7 @@
         fillAll(table, rows);
         resetPeak();
         before = statusBytes("VmRSS:");
-        if (way == "publish-whole") {
+        if (variant == "publish-whole") {
             for (std::string &part : splitSnapshot(table.nextOffset(), table.snapshot())) {
                 spool(path, std::move(part));
             }
@@ -163,7 +163,7 @@
             }
         }
     }
-    if (way.starts_with("load")) {
+    if (variant.starts_with("load")) {
         resetPeak();
         before = statusBytes("VmRSS:");
         SnapshotAssembler assembler;
@@ -171,13 +171,13 @@
         for (std::string record; std::getline(records, record);) {
             assembler.add(record);
         }
-        const auto table = way == "load-whole" ? ConfigTable::fromSnapshot(assembler.newest()->bytes)
-                                               : ConfigTable::fromSnapshot(std::move(*assembler.takeNewest()));
+        const auto table = variant == "load-whole" ? ConfigTable::fromSnapshot(assembler.newest()->bytes)
+                                                   : ConfigTable::fromSnapshot(std::move(*assembler.takeNewest()));
         if (!table) {
             std::exit(1);
         }
     }
-    return { { "way", way },
+    return { { "way", variant },
              { "rows", rows },
              { "resident_before", before },
              { "resident_peak", statusBytes("VmHWM:") },
@@ -191,7 +191,7 @@
     const std::size_t services = std::max<std::size_t>(1, rows * 3'500 / 220'000);
     const std::size_t targets = std::max<std::size_t>(1, rows * 58'000 / 220'000);
     ConfigTable table;
-    Filler filler(table);
+    TableFiller filler(table);
     boost::json::object result {
         { "accounts", rows }, { "rows", rows }, { "services", services }, { "targets", targets }
     };
@@ -223,8 +223,8 @@
         const std::size_t number = count * 7'919 % rows;
         auto row = table.row(accountOf(number).name, serviceNameOf(number % services));
         const Version later = table.nextOffset() + count + 1;
-        const std::size_t sameBefore = count >= rows ? count - rows : count;
-        row->version = sameBefore == count ? row->version : later - rows;
+        const std::size_t previousEditOfRow = count >= rows ? count - rows : count;
+        row->version = previousEditOfRow == count ? row->version : later - rows;
         edits.push_back(encodeEdit({ EditId(numbered("timed", count)), { { *row, false } } }));
     }
     auto begin = std::chrono::steady_clock::now();
@@ -260,15 +260,15 @@
     for (int index = 1; index + 1 < argc; index += 2) {
         options[argv[index]] = argv[index + 1];
     }
-    const std::size_t most = options.contains("--rows") ? std::stoul(options["--rows"]) : 220'000;
+    const std::size_t maxRows = options.contains("--rows") ? std::stoul(options["--rows"]) : 220'000;
     if (options.contains("--peak")) {
         const std::string path = options.contains("--spool") ? options["--spool"] : "build/measure/snapshot-parts.tmp";
-        std::cout << boost::json::serialize(peakOf(options["--peak"], most, path)) << std::endl;
+        std::cout << boost::json::serialize(measurePeak(options["--peak"], maxRows, path)) << std::endl;
         return 0;
     }
     boost::json::array sizes;
     for (const std::size_t divisor : { 100, 10, 1 }) {
-        sizes.push_back(measure(std::max<std::size_t>(TimedEdits, most / divisor)));
+        sizes.push_back(measure(std::max<std::size_t>(TimedEdits, maxRows / divisor)));
         std::cout << boost::json::serialize(sizes.back()) << std::endl;
     }
     if (options.contains("--out")) {
--- a/bench/fairnessmodel/requestcost.h
+++ b/bench/fairnessmodel/requestcost.h
@@ -29,7 +29,7 @@
         offer(account);
     }
     std::deque<RequestId> running;
-    const auto began = std::chrono::steady_clock::now();
+    const auto startTime = std::chrono::steady_clock::now();
     const int requests = rounds * static_cast<int>(accounts);
     for (int request = 0; request < requests; ++request) {
         now += std::chrono::microseconds(10);
@@ -42,8 +42,8 @@
             running.pop_front();
         }
     }
-    const std::chrono::duration<double, std::nano> spent = std::chrono::steady_clock::now() - began;
-    return { spent.count() / requests, 0 };
+    const std::chrono::duration<double, std::nano> elapsed = std::chrono::steady_clock::now() - startTime;
+    return { elapsed.count() / requests, 0 };
 }
 
 // Returns the heap's growth for one account: added, used once, and at rest.
--- a/bench/fairnessmodel/settings.h
+++ b/bench/fairnessmodel/settings.h
@@ -15,7 +15,7 @@
     double slots = 0; // slot-time per second
     double cost = 0.02; // mean slot-time of a request in seconds
     bool fixedCost = false; // else exponentially distributed
-    std::vector<double> proxyParts; // how its requests spread over the proxies; sums up to 1
+    std::vector<double> proxyShares; // how its requests spread over the proxies; sums up to 1
 };
 
 struct Settings {
@@ -28,10 +28,10 @@
     double deadline = 10; // seconds that each request may take in all
     int retries = 0; // by clients whose request was refused or shed
     double retryDelay = 0.05; // seconds; clients come back after the answer's Retry-After if that is later
-    bool heedRetryAfter = true;
+    bool honorRetryAfter = true;
     bool shareCapacity = true; // by FleetShares; else whoever asks first takes a free slot
     std::uint32_t totalQueue = 1'024; // of each proxy
-    bool controlQueue = false; // by OverloadControl
+    bool useOverloadControl = false; // by OverloadControl
     std::function<int(double second)> slotsAt; // the targets' slots as time goes on
     std::function<double(double second)> loadAt; // a factor on all loads as time goes on
 };
@@ -41,7 +41,7 @@
     double offered = 0; // slot-time per second, without retries
     double served = 0; // slot-time per second
     std::vector<double> waits; // seconds from arrival until the start
-    std::vector<double> answers; // seconds from arrival until the answer
+    std::vector<double> responseTimes; // seconds from arrival until the answer
 };
 
 struct SimulationResult {
--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -45,7 +45,7 @@
 }
 
 // When each other member first suspected the victim, and when it first took it for dead, in seconds after the fault.
-struct Notice {
+struct DetectionTimes {
     std::vector<double> suspected;
     std::vector<double> dead;
 };
@@ -70,33 +70,33 @@
 enum class Fault {
     Dead,
     Paused,
-    HalfDeaf,
+    InboundBlocked,
 };
 
-std::size_t tryFault(VirtualFleet &fleet, Fault fault, std::size_t victim, Notice &notice)
+std::size_t tryFault(VirtualFleet &fleet, Fault fault, std::size_t victim, DetectionTimes &detectionTimes)
 {
     const Instant begin = fleet.now();
     const Incarnation incarnation = fleet.node(victim).self.incarnation;
     std::vector<bool> suspected(fleet.size());
     std::vector<bool> dead(fleet.size());
-    std::size_t falseAccusations = 0;
+    std::size_t falseSuspicions = 0;
     fleet.onEvent = [&](std::size_t node, const MembershipEvent &event) {
         const bool isDeath = event.event == Event::MemberDead;
         if (node == victim || (!isDeath && event.event != Event::MemberSuspected)) {
             return;
         }
         if (event.member.incarnation != incarnation) {
-            ++falseAccusations;
+            ++falseSuspicions;
             return;
         }
         const double after = toSeconds(fleet.now() - begin);
         if (!suspected[node]) {
             suspected[node] = true;
-            notice.suspected.push_back(after);
+            detectionTimes.suspected.push_back(after);
         }
         if (isDeath && !dead[node]) {
             dead[node] = true;
-            notice.dead.push_back(after);
+            detectionTimes.dead.push_back(after);
         }
     };
     switch (fault) {
@@ -106,7 +106,7 @@
     case Fault::Paused:
         fleet.pause(victim, FaultTime);
         break;
-    case Fault::HalfDeaf:
+    case Fault::InboundBlocked:
         fleet.blocked = [victim](std::size_t, std::size_t to) {
             return to == victim;
         };
@@ -119,7 +119,7 @@
         fleet.start(victim);
     }
     fleet.run(FaultTime / 2);
-    return falseAccusations;
+    return falseSuspicions;
 }
 
 boost::json::object measure(std::size_t size)
@@ -155,21 +155,21 @@
     result["exchange_request_bytes"] = encode(fleet.node(0).membership->exchangeRequest()).size();
     fleet.sizeOf = {};
 
-    std::size_t falseAccusations = 0;
+    std::size_t falseSuspicions = 0;
     const std::map<std::string, Fault> faults { { "dead", Fault::Dead },
                                                 { "paused", Fault::Paused },
-                                                { "half_deaf", Fault::HalfDeaf } };
+                                                { "half_deaf", Fault::InboundBlocked } };
     for (const auto &[name, fault] : faults) {
         const std::size_t count = size >= LargeFleet ? 1 : Faults;
-        Notice notice;
+        DetectionTimes detectionTimes;
         for (std::size_t i = 0; i < count; ++i) {
-            falseAccusations += tryFault(fleet, fault, 1 + i * (size - 2) / count, notice);
+            falseSuspicions += tryFault(fleet, fault, 1 + i * (size - 2) / count, detectionTimes);
         }
         result[name] =
-            boost::json::object { { "seconds_until_suspected", summary(notice.suspected, count * (size - 1)) },
-                                  { "seconds_until_dead", summary(notice.dead, count * (size - 1)) } };
+            boost::json::object { { "seconds_until_suspected", summary(detectionTimes.suspected, count * (size - 1)) },
+                                  { "seconds_until_dead", summary(detectionTimes.dead, count * (size - 1)) } };
     }
-    result["false_accusations"] = falseAccusations;
+    result["false_accusations"] = falseSuspicions;
     return result;
 }
 
--- a/bench/plansize.h
+++ b/bench/plansize.h
@@ -37,7 +37,7 @@
 }
 
 // Keeps the compiler from leaving out what nobody looks at.
-inline volatile std::size_t kept = 0;
+inline volatile std::size_t optimizerSink = 0;
 
 inline Member memberOf(std::size_t number)
 {
@@ -94,7 +94,7 @@
     return Row { accountOf(number).name, serviceName(number % Services), 3, { 100, 8, 32 }, 0 };
 }
 
-inline PeerTransportSettings keyedTransport()
+inline PeerTransportSettings keyedTransportSettings()
 {
     PeerTransportSettings settings;
     settings.listen = Endpoint { "127.0.0.1", 0 };
--- a/bench/requestdecisions.cpp
+++ b/bench/requestdecisions.cpp
@@ -86,7 +86,7 @@
     });
     const AccountName account("studio-17");
     const ServiceName service("ticketdesk");
-    const StoredResponse answer { 201, { { "Content-Type", "application/json" } }, std::string(100, 'x') };
+    const StoredResponse response { 201, { { "Content-Type", "application/json" } }, std::string(100, 'x') };
     std::uint64_t number = 0;
     Instant now = Begin;
     for ([[maybe_unused]] auto step : state) {
@@ -97,7 +97,7 @@
         if (decision.kind != AtMostOnceDecisionKind::Run) {
             state.SkipWithError("no room: the benchmark measures refusals");
         }
-        registry.finishWithResponse(account, key, answer);
+        registry.finishWithResponse(account, key, response);
     }
     state.counters["keys"] = static_cast<double>(registry.size());
 }
--- a/standin/commandline.h
+++ b/standin/commandline.h
@@ -28,18 +28,18 @@
     // `command` and `purpose` are what --help begins with.
     CommandLine(std::string command, std::string purpose);
 
-    // Adds a flag with a value. `take` stores it and throws UsageError or std::invalid_argument for a bad one.
-    void add(std::string name, std::string value, std::string help, std::function<void(const std::string &)> take);
+    // Adds a flag with a value. `store` stores it and throws UsageError or std::invalid_argument for a bad one.
+    void add(std::string name, std::string value, std::string help, std::function<void(const std::string &)> store);
 
-    // Adds a flag whose value is a whole number or a number from `least` to `most`.
-    void addNumber(std::string name, std::string help, std::size_t &number, std::size_t least, std::size_t most);
-    void addNumber(std::string name, std::string help, double &number, double least, double most);
+    // Adds a flag whose value is a whole number or a number from `minimum` to `maximum`.
+    void addNumber(std::string name, std::string help, std::size_t &number, std::size_t minimum, std::size_t maximum);
+    void addNumber(std::string name, std::string help, double &number, double minimum, double maximum);
 
     // Adds a flag whose value is any text.
     void addText(std::string name, std::string value, std::string help, std::string &text);
 
-    // Adds a flag without a value that sets `on`.
-    void addSwitch(std::string name, std::string help, bool &on);
+    // Adds a flag without a value that sets `enabled`.
+    void addSwitch(std::string name, std::string help, bool &enabled);
 
     // Reads the arguments that follow the subcommand. Returns false when --help was asked for and printed.
     // Throws UsageError.
@@ -50,7 +50,7 @@
         std::string name;
         std::string value; // empty: the flag takes none
         std::string help;
-        std::function<void(const std::string &)> take;
+        std::function<void(const std::string &)> store;
     };
 
     void printHelp() const;
--- a/standin/download.h
+++ b/standin/download.h
@@ -23,7 +23,7 @@
     Unsatisfiable,
 };
 
-struct RangeAnswer {
+struct RangeSelection {
     RangeKind kind = RangeKind::Whole;
     ByteRange bytes;
 };
@@ -32,14 +32,14 @@
 std::optional<std::uint64_t> downloadSize(std::string_view path);
 
 // Returns the strong validator of the download of that size: equal on every target, as the bytes are.
-std::string downloadTag(std::uint64_t size);
+std::string downloadETag(std::uint64_t size);
 
 // Decides what to send of a body of `size` bytes for the headers Range and If-Range; empty when absent. One range of
 // the forms a-b, a- and -n is understood.
-RangeAnswer chooseRange(std::string_view range, std::string_view ifRange, std::uint64_t size);
+RangeSelection selectRange(std::string_view range, std::string_view ifRange, std::uint64_t size);
 
-// Returns bytes of the downloads' content from `offset` on: at least one and at most `most`. They depend on the
+// Returns bytes of the downloads' content from `offset` on: at least one and at maxBytes `maxBytes`. They depend on the
 // offset alone and stay valid for the life of the process.
-boost::asio::const_buffer contentAt(std::uint64_t offset, std::uint64_t most);
+boost::asio::const_buffer contentAt(std::uint64_t offset, std::uint64_t maxBytes);
 
 } // namespace standin
--- a/standin/httpserver.h
+++ b/standin/httpserver.h
@@ -30,17 +30,17 @@
 using Response = http::response<http::string_body>;
 
 // What happens to a connection once a request was dealt with.
-enum class After : std::uint8_t {
-    KeepOpen, // the next request may follow, unless an answer said otherwise
+enum class ConnectionAction : std::uint8_t {
+    KeepOpen, // the next request may follow, unless an answer said defaultValue
     Close, // end it in order
     Reset, // end it by a TCP reset
 };
 
 // Returns the first of `target` up to its query.
-std::string_view pathOf(std::string_view target);
+std::string_view requestPath(std::string_view target);
 
-// Returns the number that `target`'s query gives for `key`, or `otherwise` when there is none or it is no number.
-std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t otherwise);
+// Returns the number that `target`'s query gives for `key`, or `defaultValue` when there is none or it is no number.
+std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t defaultValue);
 
 // Returns an answer with a JSON body.
 Response jsonResponse(http::status status, const boost::json::value &body);
@@ -69,24 +69,24 @@
     asio::awaitable<bool> waitFor(asio::steady_timer &timer);
 
     // Waits for `duration`; at once for none. Returns false when the other end closed the connection first.
-    asio::awaitable<bool> pause(Duration duration);
+    asio::awaitable<bool> sleep(Duration duration);
 
     // Waits until the other end closes the connection.
-    asio::awaitable<void> hang();
+    asio::awaitable<void> waitUntilClosed();
 
 private:
     friend class HttpServer;
 
     asio::awaitable<bool> receive(std::size_t maxBody);
     asio::awaitable<void> discardUntilClosed();
-    bool otherEndClosed();
+    bool closedByPeer();
     void reset();
 
     asio::ip::tcp::socket m_socket;
     beast::flat_buffer m_buffer;
     Request m_request;
     bool m_mustClose = false;
-    bool m_silent = false;
+    bool m_unresponsive = false;
 
 public:
     boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> hook;
@@ -97,7 +97,7 @@
 class HttpServer
 {
 public:
-    using Handler = std::function<asio::awaitable<After>(Connection &)>;
+    using Handler = std::function<asio::awaitable<ConnectionAction>(Connection &)>;
 
     // Binds the address; port 0 lets the system choose. Throws boost::system::system_error when it can't be bound.
     HttpServer(asio::io_context &context, const std::string &address, std::uint16_t port, Handler handler);
@@ -112,13 +112,13 @@
 
     // Makes all connections that are open now, other than `except`, go silent for good: nothing is answered on them any
     // more.
-    void silenceOpenConnections(const Connection &except);
+    void makeOpenConnectionsUnresponsive(const Connection &except);
 
     // While true, each new connection is closed as soon as it was accepted.
     void refuseAfterAccept(bool refuse);
 
     // Sets the largest request body in bytes; 1 MiB unless set.
-    void limitBody(std::size_t maxBody);
+    void setMaxBodySize(std::size_t maxBody);
 
 private:
     using Connections =
--- a/standin/loadgenerator.h
+++ b/standin/loadgenerator.h
@@ -69,13 +69,13 @@
 private:
     struct Client;
 
-    asio::awaitable<void> drive(Client &client);
+    asio::awaitable<void> runClient(Client &client);
     asio::awaitable<bool> connect(Client &client);
-    asio::awaitable<void> exchange(Client &client, std::uint64_t number, Instant intended);
-    Request requestFor(const Client &client, std::uint64_t number) const;
+    asio::awaitable<void> sendRequest(Client &client, std::uint64_t number, Instant scheduledAt);
+    Request makeRequest(const Client &client, std::uint64_t number) const;
 
     LoadSettings m_settings;
-    std::atomic<std::uint64_t> m_next { 0 };
+    std::atomic<std::uint64_t> m_nextNumber { 0 };
     Instant m_begin;
     Instant m_end;
 };
--- a/standin/logservice.h
+++ b/standin/logservice.h
@@ -11,8 +11,8 @@
 // The faults of the log service that can be switched while it runs.
 struct LogFaults {
     bool outage = false; // everything but the switches answers 503
-    std::chrono::milliseconds slow { 0 }; // before each answer
-    bool loseAnswers = false; // an append takes effect, then the connection closes without an answer
+    std::chrono::milliseconds delay { 0 }; // before each answer
+    bool loseResponses = false; // an append takes effect, then the connection closes without an answer
     bool corruptNext = false; // the next record is stored cut in half
 };
 
@@ -41,14 +41,14 @@
     void stop();
 
 private:
-    asio::awaitable<After> handle(Connection &connection);
-    asio::awaitable<After> append(Connection &connection, const std::string &stream);
-    asio::awaitable<After> read(Connection &connection, const std::string &stream);
-    asio::awaitable<After> faults(Connection &connection);
-    asio::awaitable<After> unavailable(Connection &connection);
-    asio::awaitable<bool> waitForRecord(Connection &connection, Instant until);
-    Response answerFaults(const Request &request);
-    void switchFaults(const std::string &body);
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    asio::awaitable<ConnectionAction> append(Connection &connection, const std::string &stream);
+    asio::awaitable<ConnectionAction> read(Connection &connection, const std::string &stream);
+    asio::awaitable<ConnectionAction> faults(Connection &connection);
+    asio::awaitable<ConnectionAction> unavailable(Connection &connection);
+    asio::awaitable<bool> waitForRecord(Connection &connection, Instant deadline);
+    Response handleFaults(const Request &request);
+    void updateFaults(const std::string &body);
     bool admitAppend();
     void wakeReaders();
 
@@ -57,9 +57,9 @@
     Clock m_clock;
     LogStore m_store;
     LogFaults m_faults;
-    std::vector<asio::steady_timer *> m_waiting; // of readers for which there is no record yet
+    std::vector<asio::steady_timer *> m_waitingReads; // of readers for which there is no record yet
     double m_tokens = 0;
-    Instant m_tokensAt;
+    Instant m_tokensUpdatedAt;
     HttpServer m_server;
 };
 
--- a/standin/logstore.h
+++ b/standin/logstore.h
@@ -51,13 +51,13 @@
     void recreate();
 
 private:
-    struct Kept {
+    struct StoredRecord {
         std::string data;
         Instant at;
     };
     struct Stream {
         std::uint64_t first = 0;
-        std::deque<Kept> records;
+        std::deque<StoredRecord> records;
     };
 
     void expire(Stream &stream, Instant now) const;
--- a/standin/platformstore.h
+++ b/standin/platformstore.h
@@ -13,11 +13,11 @@
 // Ways in which the store fails, each in force until it is changed.
 struct PlatformStoreFaults {
     bool refuse = false; // every call is answered 503: nothing was done
-    bool silent = false; // no call is answered; appends aren't done
-    bool loseAppends = false; // appends are done and not answered, and their connections end
+    bool unresponsive = false; // no call is answered; appends aren't done
+    bool loseAppendResponses = false; // appends are done and not answered, and their connections end
     std::chrono::milliseconds delay { 0 }; // before each answer
-    std::size_t pieceSize = 0; // answers are sent in pieces of so many bytes; 0: at once
-    std::chrono::milliseconds piecePause { 0 }; // before each of them
+    std::size_t chunkSize = 0; // answers are sent in pieces of so many bytes; 0: at once
+    std::chrono::milliseconds chunkDelay { 0 }; // before each of them
     std::uint64_t staleBy = 0; // reads of the newest records are so many records behind
 };
 
@@ -43,8 +43,8 @@
     // Forgets all records of a topic but the newest of each key.
     void dropHistory(const std::string &topic);
 
-    // Returns the calls so far, those that failed included.
-    std::uint64_t calls() const;
+    // Returns the requestCount so far, those that failed included.
+    std::uint64_t requestCount() const;
 
     PlatformStoreFaults faults;
 
@@ -58,8 +58,8 @@
         std::uint64_t first = 0; // that is kept
     };
 
-    asio::awaitable<After> handle(Connection &connection);
-    asio::awaitable<After> sendPieces(Connection &connection, Response response) const;
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    asio::awaitable<ConnectionAction> sendInChunks(Connection &connection, Response response) const;
     asio::awaitable<Response> read(Connection &connection, Topic &topic);
     static Response page(const Topic &topic, std::uint64_t from);
     Response append(const Request &request, Topic &topic);
@@ -68,8 +68,8 @@
 
     asio::io_context &m_context;
     std::map<std::string, Topic> m_topics;
-    std::vector<asio::steady_timer *> m_waiting; // of reads for which there is no record yet
-    std::uint64_t m_calls = 0;
+    std::vector<asio::steady_timer *> m_waitingReads; // of reads for which there is no record yet
+    std::uint64_t m_requestCount = 0;
     HttpServer m_server;
 };
 
--- a/standin/programs.cpp
+++ b/standin/programs.cpp
@@ -8,7 +8,7 @@
 #include "commandline.h"
 #include "loadgenerator.h"
 #include "logservice.h"
-#include "service.h"
+#include "servicethreads.h"
 #include "target.h"
 #include "vmlist.h"
 
@@ -28,7 +28,7 @@
     return std::chrono::steady_clock::now();
 }
 
-std::chrono::milliseconds wholeMillis(double millis)
+std::chrono::milliseconds roundToMillis(double millis)
 {
     return std::chrono::milliseconds(std::llround(millis));
 }
@@ -39,14 +39,14 @@
     std::cout << what << " listening on " << ip << ":" << port << std::endl;
 }
 
-void addListen(CommandLine &flags, std::vector<Address> &addresses, const std::string &help)
+void addListenFlag(CommandLine &flags, std::vector<Address> &addresses, const std::string &help)
 {
     flags.add("listen", "IP:PORT", help, [&addresses](const std::string &text) {
         addresses.push_back(parseAddress(text));
     });
 }
 
-Address onlyAddress(const std::vector<Address> &addresses)
+Address lastAddress(const std::vector<Address> &addresses)
 {
     return addresses.empty() ? Address {} : addresses.back();
 }
@@ -62,10 +62,10 @@
     throw UsageError("allowed is fixed or lognormal");
 }
 
-std::vector<Address> consecutive(const std::vector<Address> &bases, std::size_t count)
+std::vector<Address> consecutiveAddresses(const std::vector<Address> &baseAddresses, std::size_t count)
 {
     std::vector<Address> addresses;
-    for (const Address &base : bases) {
+    for (const Address &base : baseAddresses) {
         for (std::size_t i = 0; i < count; ++i) {
             const std::size_t port = base.port == 0 ? 0 : base.port + i;
             if (port > 65535) {
@@ -95,14 +95,14 @@
     std::vector<Address> addresses;
     LogServiceSettings settings;
     std::size_t keepSeconds = static_cast<std::size_t>(settings.retention.age.count());
-    addListen(flags, addresses, "where to listen (127.0.0.1:0)");
+    addListenFlag(flags, addresses, "where to listen (127.0.0.1:0)");
     flags.addNumber("keep-records", "records kept of a stream", settings.retention.records, 1, 100'000'000);
     flags.addNumber("keep-seconds", "how long a record is kept", keepSeconds, 1, MaxKeepSeconds);
     flags.addNumber("appends-per-second", "beyond it 503; 0: unlimited", settings.appendsPerSecond, 0, 1e9);
     if (!flags.parse(argc, argv)) {
         return 0;
     }
-    const Address address = onlyAddress(addresses);
+    const Address address = lastAddress(addresses);
     settings.address = address.ip;
     settings.port = address.port;
     settings.retention.age = std::chrono::seconds(keepSeconds);
@@ -121,14 +121,14 @@
     CommandLine flags("mulberryplank-standin vms", "Stands in for the platform's list of VMs.");
     std::vector<Address> addresses;
     double lagMs = 0;
-    addListen(flags, addresses, "where to listen (127.0.0.1:0)");
+    addListenFlag(flags, addresses, "where to listen (127.0.0.1:0)");
     flags.addNumber("lag-ms", "from setting the list until it is shown", lagMs, 0, MaxMillis);
     if (!flags.parse(argc, argv)) {
         return 0;
     }
-    const Address address = onlyAddress(addresses);
+    const Address address = lastAddress(addresses);
     ServiceThreads threads(1);
-    VmList list(threads.contextFor(0), { address.ip, address.port, wholeMillis(lagMs) }, now);
+    VmList list(threads.contextFor(0), { address.ip, address.port, roundToMillis(lagMs) }, now);
     threads.onStop(0, [&list] {
         list.stop();
     });
@@ -140,7 +140,7 @@
 int runTarget(int argc, char **argv)
 {
     CommandLine flags("mulberryplank-standin target", "Stands in for targets of a service.");
-    std::vector<Address> bases;
+    std::vector<Address> baseAddresses;
     TargetSettings settings;
     settings.serviceMs = 5;
     settings.probeMs = 25;
@@ -150,7 +150,7 @@
     std::size_t seed = settings.seed;
     double coldMs = 0;
     std::string prefix = "target";
-    addListen(flags, bases, "where to listen; may be repeated (127.0.0.1:0)");
+    addListenFlag(flags, baseAddresses, "where to listen; may be repeated (127.0.0.1:0)");
     flags.addNumber("count", "targets on consecutive ports from each --listen on", count, 1, MaxTargets);
     flags.addText("name", "PREFIX", "targets are named PREFIX-PORT (target)", prefix);
     flags.addNumber("slots", "requests at a time; 0: unlimited", settings.slots, 0, 1'000'000);
@@ -166,8 +166,9 @@
     if (!flags.parse(argc, argv)) {
         return 0;
     }
-    settings.cold = wholeMillis(coldMs);
-    const std::vector<Address> addresses = consecutive(bases.empty() ? std::vector { Address {} } : bases, count);
+    settings.cold = roundToMillis(coldMs);
+    const std::vector<Address> addresses =
+        consecutiveAddresses(baseAddresses.empty() ? std::vector { Address {} } : baseAddresses, count);
     ServiceThreads threads(threadCount);
     std::vector<std::unique_ptr<Target>> targets;
     for (std::size_t i = 0; i < addresses.size(); ++i) {
--- a/standin/service.h
+++ b/standin/servicethreads.h
@@ -31,7 +31,7 @@
     void stopAll();
 
     std::vector<std::unique_ptr<boost::asio::io_context>> m_contexts;
-    std::vector<std::pair<std::size_t, std::function<void()>>> m_stops;
+    std::vector<std::pair<std::size_t, std::function<void()>>> m_stopHandlers;
 };
 
 } // namespace standin
--- a/standin/target.h
+++ b/standin/target.h
@@ -37,7 +37,7 @@
 struct TargetCounters {
     std::uint64_t started = 0; // got a slot and began to run
     std::uint64_t finished = 0; // answered in full
-    std::uint64_t cancelled = 0; // the connection closed before the answer was out, before or after the start
+    std::uint64_t cancelled = 0; // the connection closed before the respond was out, before or after the start
     std::uint64_t shed = 0; // 503, not run
     std::uint64_t late = 0; // 504, not run: no slot before the deadline
     std::uint64_t startedWhileLeaving = 0;
@@ -62,12 +62,12 @@
     void stop();
 
 private:
-    struct Finished {
+    struct ResponseContent {
         std::string requestId;
         std::string body;
     };
-    // What befalls an answer, drawn once per request.
-    enum class Fate : std::uint8_t {
+    // What befalls an respond, drawn once per request.
+    enum class Outcome : std::uint8_t {
         Whole,
         Error,
         Truncated,
@@ -76,31 +76,31 @@
         Reset,
     };
 
-    asio::awaitable<After> handle(Connection &connection);
-    asio::awaitable<After> probe(Connection &connection);
-    asio::awaitable<After> work(Connection &connection);
-    asio::awaitable<After> run(Connection &connection);
-    asio::awaitable<After> refuse(Connection &connection, Admission admission);
-    asio::awaitable<After> answer(Connection &connection, Fate fate);
-    asio::awaitable<After> download(Connection &connection, std::uint64_t size, Fate fate);
-    asio::awaitable<bool> serviceTime(Connection &connection, double normalMs);
-    asio::awaitable<bool> holdIfSwitched(Connection &connection);
-    std::string downloadHead(const Request &request, const RangeAnswer &range, std::uint64_t size) const;
-    After finished(bool delivered);
-
-    Response control(const Connection &connection, std::string_view path);
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    asio::awaitable<ConnectionAction> handleProbe(Connection &connection);
+    asio::awaitable<ConnectionAction> handleWork(Connection &connection);
+    asio::awaitable<ConnectionAction> run(Connection &connection);
+    asio::awaitable<ConnectionAction> reject(Connection &connection, Admission admission);
+    asio::awaitable<ConnectionAction> respond(Connection &connection, Outcome outcome);
+    asio::awaitable<ConnectionAction> download(Connection &connection, std::uint64_t size, Outcome outcome);
+    asio::awaitable<bool> waitServiceTime(Connection &connection, double normalMs);
+    asio::awaitable<bool> holdIfRequested(Connection &connection);
+    std::string downloadHead(const Request &request, const RangeSelection &range, std::uint64_t size) const;
+    ConnectionAction finished(bool delivered);
+
+    Response handleControl(const Connection &connection, std::string_view path);
     Response health() const;
     Response load() const;
     Response drain(const std::string &body);
     Response faults(const Connection &connection);
     Response countersResponse() const;
-    Response answerFor(const Request &request);
-    void switchFaults(const Connection &connection);
+    Response makeResponse(const Request &request);
+    void updateFaults(const Connection &connection);
     void addHeaders(Response &response, std::string_view requestId) const;
 
     TargetFaults currentFaults() const;
     Instant deadlineOf(const Request &request) const;
-    Fate drawFate(const TargetFaults &faults);
+    Outcome drawOutcome(const TargetFaults &faults);
     double drawServiceMs();
     bool cold() const;
     std::size_t reportedLoad() const;
@@ -114,9 +114,9 @@
     TargetCounters m_counters;
     TargetFaults m_faults;
     Instant m_faultsAt;
-    std::vector<asio::steady_timer *> m_held;
+    std::vector<asio::steady_timer *> m_heldRequests;
     std::mt19937_64 m_random;
-    Finished m_last;
+    ResponseContent m_previous;
     bool m_leaving = false;
     HttpServer m_server;
 };
--- a/standin/targetfaults.h
+++ b/standin/targetfaults.h
@@ -9,7 +9,7 @@
 namespace standin
 {
 
-class Switches;
+class JsonObjectReader;
 
 // The ways in which a target can be made to fail partially. Shares are probabilities per request, from 0 to 1.
 struct TargetFaults {
@@ -29,16 +29,16 @@
     double flapMs = 0; // all of the above hold and don't hold by turns of this length; 0: they hold
 };
 
-// Changes the faults that are named in `switches`, and leaves the others. Throws std::invalid_argument.
-void change(TargetFaults &faults, Switches &switches);
+// Changes the faults that are named in `reader`, and leaves the others. Throws std::invalid_argument.
+void applyFaults(TargetFaults &faults, JsonObjectReader &reader);
 
 // Returns the faults under the names by which they are switched.
 boost::json::object toJson(const TargetFaults &faults);
 
-// Returns the faults in force after `sinceSwitched`: none in every second turn when they flap.
-TargetFaults inForce(const TargetFaults &faults, std::chrono::nanoseconds sinceSwitched);
+// Returns the faults in force after `sinceChange`: none in every second turn when they flap.
+TargetFaults activeFaults(const TargetFaults &faults, std::chrono::nanoseconds sinceChange);
 
 // Returns the service time in milliseconds that `path` gets in place of `normalMs`.
-double slowed(const TargetFaults &faults, std::string_view path, double normalMs);
+double slowedServiceTime(const TargetFaults &faults, std::string_view path, double normalMs);
 
 } // namespace standin
--- a/standin/testcaller.h
+++ b/standin/testcaller.h
@@ -16,19 +16,19 @@
 {
 
 // Bounds what would otherwise wait for ever where a mechanism is missing. No test passes by waiting for it.
-constexpr auto GiveUpAfter = std::chrono::seconds(20);
+constexpr auto TestTimeout = std::chrono::seconds(20);
 
 inline Instant fixedNow()
 {
     return Instant {};
 }
 
-// Runs the server's handlers until `reached` holds. Fails the test when nothing happens any more.
+// Runs the server's handlers until `condition` holds. Fails the test when nothing happens any more.
 template<typename Condition>
-void runUntil(asio::io_context &context, Condition reached)
+void runUntil(asio::io_context &context, Condition condition)
 {
-    while (!reached()) {
-        if (context.run_one_for(GiveUpAfter) == 0) {
+    while (!condition()) {
+        if (context.run_one_for(TestTimeout) == 0) {
             FAIL("nothing happens any more, and what the test waits for has not come");
         }
     }
@@ -60,7 +60,7 @@
     // Returns the answer, or one with status 0 when the connection ended before it was whole.
     Response receive()
     {
-        // Owned by the handler as well, which outlives this call where the test fails here.
+        // Owned by the handler as well, which outlives this sendAndReceive where the test fails here.
         const auto read = std::make_shared<Read>();
         http::async_read(
             m_socket, m_buffer, read->response, [read](const boost::system::error_code &error, std::size_t) {
@@ -76,7 +76,10 @@
         return read->response;
     }
 
-    Response call(http::verb method, const std::string &path, const std::string &body = {}, const std::string &id = {})
+    Response sendAndReceive(http::verb method,
+                            const std::string &path,
+                            const std::string &body = {},
+                            const std::string &id = {})
     {
         send(method, path, body, id);
         return receive();
@@ -101,7 +104,7 @@
     }
 
     // Returns true while the connection is open and nothing has come that wasn't read.
-    bool hearsNothing()
+    bool isOpenAndIdle()
     {
         char byte = 0;
         boost::system::error_code error;
@@ -129,14 +132,14 @@
     beast::flat_buffer m_buffer;
 };
 
-inline boost::json::value jsonOf(const Response &response)
+inline boost::json::value parseJson(const Response &response)
 {
     return boost::json::parse(response.body());
 }
 
-inline std::uint64_t counter(asio::io_context &context, std::uint16_t port, const char *path, const char *name)
+inline std::uint64_t fetchCounter(asio::io_context &context, std::uint16_t port, const char *path, const char *name)
 {
-    const boost::json::value found = jsonOf(Caller(context, port).call(http::verb::get, path));
+    const boost::json::value found = parseJson(Caller(context, port).sendAndReceive(http::verb::get, path));
     const boost::json::value *value = found.as_object().if_contains(name);
     return value ? value->to_number<std::uint64_t>() : 0;
 }
--- a/standin/vmlist.h
+++ b/standin/vmlist.h
@@ -12,10 +12,10 @@
 struct VmListSettings {
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
-    std::chrono::milliseconds lag { 0 }; // from setting the list until it is shown
+    std::chrono::milliseconds lag { 0 }; // from setting the list until it is visibleList
 };
 
-// The platform's list of live and leaving VMs over HTTP. What is shown lags behind what was set.
+// The platform's list of live and leaving VMs over HTTP. What is visibleList lags behind what was setList.
 class VmList
 {
 public:
@@ -31,19 +31,19 @@
 
 private:
     struct Version {
-        Instant shownFrom;
+        Instant visibleFrom;
         boost::json::value list;
     };
 
-    asio::awaitable<After> handle(Connection &connection);
-    Response answer(const Request &request);
-    Response set(const std::string &body);
-    Response switchFaults(const std::string &body);
-    const boost::json::value &shown();
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    Response respond(const Request &request);
+    Response setList(const std::string &body);
+    Response updateFaults(const std::string &body);
+    const boost::json::value &visibleList();
 
     VmListSettings m_settings;
     Clock m_clock;
-    std::deque<Version> m_versions; // in order of time; the first is shown
+    std::deque<Version> m_versions; // in order of time; the first is visibleList
     bool m_outage = false;
     HttpServer m_server;
 };
