--- a/soak/explain.py
+++ b/soak/explain.py
@@ -1,7 +1,7 @@
-"""Checks that logs name the true cause of failures: soak/explain.py PROGRAM [FOLDER]
+"""Checks that the logs contain the true cause of failures: soak/explain.py PROGRAM [FOLDER]
 
-Three real gateways forward to targets of which each fails in its own way; `mulberryplank explain` has to tell, from the
-gateways' logs alone, what each target did to each failed request. Ends with 1 where it doesn't.
+Three real gateways forward requests to targets that each fail in a different way. `mulberryplank explain` must report,
+from the gateways' logs alone, how the target failed each request. Exits with 1 if it doesn't.
 """
 
 import http.client
@@ -15,7 +15,7 @@
 from fleet import HOST, LOOPBACK, Gateway, Store, Target, configure, path
 
 FIRST_PORT = 32_100
-# What a target does, and what explain has to say of it for a request that may run once.
+# The fault of a target, and the cause that explain must print for a non-idempotent request.
 CAUSES = {
     "reset": "broke the connection after the request was sent; it may run only once",
     "lose": "broke the connection after the request was sent; it may run only once",
@@ -28,9 +28,9 @@
 
 
 def call(gateway, target):
-    """Sends one request and returns its id."""
+    """Sends one request and returns its attempt id."""
     attempt = uuid.uuid4().hex
-    connection = http.client.HTTPConnection(LOOPBACK, gateway.front, timeout=5)
+    connection = http.client.HTTPConnection(LOOPBACK, gateway.listen_port, timeout=5)
     connection.request("POST", target, b"body", {"Host": HOST, "Attempt-Id": attempt, "Deadline-Ms": "2000"})
     connection.getresponse().read()
     connection.close()
@@ -38,10 +38,10 @@
 
 
 def wait_until_ready(gateways, seconds=20):
-    until = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     for gateway in gateways:
         while not gateway.is_ready():
-            if time.monotonic() > until:
+            if time.monotonic() > deadline:
                 raise TimeoutError(f"{gateway.log}: not ready after {seconds} s")
             time.sleep(0.05)
 
@@ -53,11 +53,11 @@
     store = Store()
     for name in CAUSES:
         Target(store, name, 0, 0.02).fault = name
-    # One path and service for each fault, and one service without targets.
+    # One path and service per fault, and one service without targets.
     names = [*CAUSES, "empty"]
     configure(store, 1, names, [path(f"/{name}/", "unsafe", name, 1000, 300) for name in names])
     gateways = [Gateway(program, store, FIRST_PORT, number, folder) for number in range(3)]
-    wrong = 0
+    unexplained = 0
     try:
         for gateway in gateways:
             gateway.start()
@@ -69,12 +69,13 @@
             gateway.stop()
     logs = [gateway.log for gateway in gateways]
     for attempt, cause in failed:
-        told = subprocess.run([program, "explain", attempt, *logs], capture_output=True, text=True, check=False).stdout
-        if "cause: " not in told or cause not in told:
-            wrong += 1
-            print(f"explain: expected '{cause}', told:\n{told}")
-    print(f"explain: {len(failed)} failed requests over {len(gateways)} gateways, {wrong} not explained")
-    return 1 if wrong else 0
+        explanation = subprocess.run([program, "explain", attempt, *logs], capture_output=True, text=True,
+                                     check=False).stdout
+        if "cause: " not in explanation or cause not in explanation:
+            unexplained += 1
+            print(f"explain: expected '{cause}', got:\n{explanation}")
+    print(f"explain: {len(failed)} failed requests on {len(gateways)} gateways, {unexplained} not explained")
+    return 1 if unexplained else 0
 
 
 if __name__ == "__main__":
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,6 +1,6 @@
-"""The surroundings of gateways on one machine: the platform's store, targets and the gateway processes themselves.
+"""A fleet on one machine: the platform's store, targets and gateway processes.
 
-Everything runs on loopback and in threads of this process, but for the gateways, which are real processes.
+All parts use loopback. The store and the targets run in threads of this process; the gateways are real processes.
 """
 
 import base64
@@ -18,8 +18,8 @@
 from link import LOOPBACK, Link
 
 HOST = "soak.example"
-LATE = 0.5  # seconds by which the store answers late
-HANG = 2.5  # seconds for which a target that hangs says nothing
+DELAY_SECONDS = 0.5  # seconds by which the store delays its responses
+HANG_SECONDS = 2.5  # seconds before a hanging target closes the connection without a response
 
 
 class Server(http.server.ThreadingHTTPServer):
@@ -27,7 +27,7 @@
     allow_reuse_address = True
 
     def handle_error(self, request, client_address):
-        """Connections that end are part of the soak."""
+        """Ignores errors, since broken connections are part of the soak."""
 
 
 class Handler(http.server.BaseHTTPRequestHandler):
@@ -36,7 +36,7 @@
     def log_message(self, *arguments):
         pass
 
-    def answer(self, status, body=b"", headers=()):
+    def respond(self, status, body=b"", headers=()):
         self.send_response(status)
         for name, value in headers:
             self.send_header(name, value)
@@ -47,19 +47,18 @@
     def body(self):
         return self.rfile.read(int(self.headers.get("Content-Length") or 0))
 
-
-    def drop(self):
+    def drop_connection(self):
         self.close_connection = True
         self.connection.shutdown(2)
 
 
 class Store:
-    """The platform's store: keyed topics with one partition each."""
+    """A stand-in for the platform's store, with keyed topics of one partition each."""
 
     def __init__(self):
         self.topics = collections.defaultdict(list)
         self.changed = threading.Condition()
-        self.fault = None  # "refuse", "late", "lose" (done, no answer)
+        self.fault = None  # "refuse", "late", "lose" (takes effect, no response)
         self.server = Server((LOOPBACK, 0), self.handler())
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
@@ -107,20 +106,20 @@
                 body = self.body()
                 fault = store.fault
                 if fault == "refuse":
-                    return self.answer(503)
+                    return self.respond(503)
                 if fault == "late":
-                    time.sleep(LATE)
+                    time.sleep(DELAY_SECONDS)
                 topic = query["topic"]
                 if path.endswith("/log-read"):
                     wait = int(query.get("wait-ms", 0)) / 1000
-                    return self.answer(200, store.read(topic, int(query["from"]), wait))
+                    return self.respond(200, store.read(topic, int(query["from"]), wait))
                 if path.endswith("/log-newest"):
-                    return self.answer(200, store.newest(topic))
+                    return self.respond(200, store.newest(topic))
                 at = int(query["at"]) if "at" in query else None
                 status, result = store.append(topic, body, at)
                 if fault == "lose":
-                    return self.drop()
-                return self.answer(status, json.dumps(result).encode())
+                    return self.drop_connection()
+                return self.respond(status, json.dumps(result).encode())
 
             do_GET = do_POST = call
 
@@ -128,15 +127,15 @@
 
 
 class Target:
-    """A target that counts its runs and fails as it is told."""
+    """A target that counts the runs of each attempt and simulates the fault that is set."""
 
-    def __init__(self, store, service, number, work):
+    def __init__(self, store, service, number, service_seconds):
         self.id = f"i-{service}-{number}-{time.monotonic_ns()}"
-        self.store, self.service, self.work = store, service, work
+        self.store, self.service, self.service_seconds = store, service, service_seconds
         self.runs = collections.Counter()  # by attempt id
-        self.fault = None  # "reset", "lose" (run, no answer), "shed", "hang", "error" or "cut" (half an answer)
-        self.drained_at = None
-        self.late = []  # requests that came long after it had said that it leaves
+        self.fault = None  # "reset", "lose" (run, no response), "shed", "hang", "error" or "cut" (half a response)
+        self.draining_since = None
+        self.late_requests = []  # requests received more than 3 s after it announced draining
         self.sequence = 0
         self.lock = threading.Lock()
         self.server = Server((LOOPBACK, 0), self.handler())
@@ -146,13 +145,13 @@
 
     def announce(self):
         self.sequence += 1
-        state = "draining" if self.drained_at else "ready"
+        state = "draining" if self.draining_since else "ready"
         self.store.put("keyed.servers", self.id, json.dumps({
             "service": self.service, "address": f"{LOOPBACK}:{self.link.port}", "zone": "hall",
             "config-version": "v1", "slots": 4, "state": state, "warmup-left-ms": 0, "sequence": self.sequence}))
 
     def drain(self):
-        self.drained_at = time.monotonic()
+        self.draining_since = time.monotonic()
         self.announce()
 
     def handler(target):
@@ -161,30 +160,30 @@
                 body = self.body()
                 attempt = self.headers["Attempt-Id"]
                 if self.headers["Target-Instance"] != target.id:
-                    return self.answer(421, headers=[("Attempt-Id", attempt)])
+                    return self.respond(421, headers=[("Attempt-Id", attempt)])
                 fault = target.fault
                 if fault == "shed":
-                    return self.answer(503, headers=[("Not-Executed", "1"), ("Attempt-Id", attempt)])
+                    return self.respond(503, headers=[("Not-Executed", "1"), ("Attempt-Id", attempt)])
                 if fault == "reset":
-                    return self.drop()
+                    return self.drop_connection()
                 with target.lock:
                     target.runs[attempt] += 1
-                    if target.drained_at and time.monotonic() - target.drained_at > 3:
-                        after = time.monotonic() - target.drained_at
-                        target.late.append(f"{attempt} {after:.3f} s after it")
-                time.sleep(target.work)
+                    if target.draining_since and time.monotonic() - target.draining_since > 3:
+                        delay = time.monotonic() - target.draining_since
+                        target.late_requests.append(f"{attempt} {delay:.3f} s later")
+                time.sleep(target.service_seconds)
                 if fault == "lose":
-                    return self.drop()
+                    return self.drop_connection()
                 if fault == "hang":
-                    time.sleep(HANG)
-                    return self.drop()
+                    time.sleep(HANG_SECONDS)
+                    return self.drop_connection()
                 if fault == "error":
-                    return self.answer(500, headers=[("Attempt-Id", attempt)])
+                    return self.respond(500, headers=[("Attempt-Id", attempt)])
                 if fault == "cut":
                     self.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort")
-                    return self.drop()
+                    return self.drop_connection()
                 text = f"{attempt} {self.path} ".encode() + body
-                return self.answer(200, text, [("Attempt-Id", attempt), ("Response-Signature", "s")])
+                return self.respond(200, text, [("Attempt-Id", attempt), ("Response-Signature", "s")])
 
             do_GET = do_POST = call
 
@@ -192,7 +191,7 @@
 
 
 def path(prefix, kind, service, timeout_ms, latency_ms):
-    """A path of the host for a configuration."""
+    """Returns a path of the host for a configuration."""
     return {"name": prefix, "path-prefix": prefix, "route-type": kind, "timeout-ms": timeout_ms,
             "target-latency-ms": latency_ms, "priority": 1, "service": service, "max-attempts": 2}
 
@@ -207,13 +206,13 @@
         "virtual-hosts": [{"hostname": HOST, "paths": paths}]}))
 
 
-def once_and_any(service):
-    """Paths of requests that run once and of others, which go to the service."""
+def unsafe_and_safe_paths(service):
+    """Returns a path of non-idempotent requests and one of safe requests, both to the service."""
     return [path(prefix, kind, service, 3000, 500) for prefix, kind in (("/once/", "unsafe"), ("/any/", "safe"))]
 
 
-def beat(system):
-    """Heartbeats of `system.targets` until `system.ended`."""
+def send_heartbeats(system):
+    """Sends heartbeats of `system.targets` until `system.ended`."""
     while not system.ended:
         for target in list(system.targets):
             target.announce()
@@ -227,7 +226,7 @@
         base = first_port + 10 * number
         self.name = f"vm-{number}"
         self.store_link = Link(store.server.server_port)
-        self.front, self.ready = base, base + 1
+        self.listen_port, self.ready_port = base, base + 1
         self.log = os.path.join(folder, f"gateway-{number}.log")
         self.command = [program, "gateway", "--vm", self.name, "--failure-domain", "hall",
                         "--listen", f"{LOOPBACK}:{base}", "--ready", f"{LOOPBACK}:{base + 1}",
@@ -244,7 +243,7 @@
             self.process.send_signal(number)
 
     def is_ready(self):
-        connection = http.client.HTTPConnection(LOOPBACK, self.ready, timeout=1)
+        connection = http.client.HTTPConnection(LOOPBACK, self.ready_port, timeout=1)
         try:
             connection.request("GET", "/mulberryplank/readyz")
             return connection.getresponse().status == 200
--- a/soak/link.py
+++ b/soak/link.py
@@ -1,4 +1,4 @@
-"""A loopback proxy between two parties, whose connections can be delayed, reset, cut one way or silenced."""
+"""A loopback TCP proxy whose connections can be delayed, reset, cut in one direction or made unresponsive."""
 
 import random
 import socket
@@ -7,60 +7,60 @@
 import time
 
 LOOPBACK = "127.0.0.1"
-PIECE = 65_536  # bytes read at once
-LONGEST_DELAY = 0.3  # seconds that a piece is held up for
-RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: closing sends a reset
-LOOK_AGAIN = 0.02  # seconds between looks whether a cut has ended
+CHUNK_BYTES = 65_536  # maximum number of bytes per read
+MAX_DELAY = 0.3  # seconds by which a chunk is delayed
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which closing sends a reset
+POLL_INTERVAL = 0.02  # seconds between checks whether a cut has ended
 
-# What can happen to a link. "cut-up" swallows what goes to the server, "cut-down" what comes from it; both end in a
-# reset when the cut is over. "silence" stops the connections there are for good, while new ones work.
+# The faults of a link. "cut-up" drops data sent to the server, "cut-down" data sent by it; both end in a reset when the
+# cut is over. "silence" makes existing connections permanently unresponsive, while new ones work.
 FAULTS = ("delay", "reset", "cut-up", "cut-down", "silence")
 
 
 class Connection:
-    """Two sockets and the threads that carry bytes between them."""
+    """Two sockets and the threads that forward data between them."""
 
     def __init__(self, link, caller, server):
         self.link, self.caller, self.server = link, caller, server
-        self.silent = False
+        self.unresponsive = False
         for source, sink, direction in ((caller, server, "up"), (server, caller, "down")):
-            threading.Thread(target=self.carry, args=(source, sink, direction), daemon=True).start()
+            threading.Thread(target=self.forward, args=(source, sink, direction), daemon=True).start()
 
-    def carry(self, source, sink, direction):
+    def forward(self, source, sink, direction):
         try:
-            while piece := source.recv(PIECE):
-                if self.is_lost(direction):
+            while chunk := source.recv(CHUNK_BYTES):
+                if self.apply_fault(direction):
                     continue
-                sink.sendall(piece)
-            if not self.silent:
+                sink.sendall(chunk)
+            if not self.unresponsive:
                 sink.shutdown(socket.SHUT_WR)
         except OSError:
             self.reset()
 
-    def is_lost(self, direction):
-        """Waits as long as the link's fault has it, and says whether the bytes are lost."""
+    def apply_fault(self, direction):
+        """Waits while the link's fault delays data. Returns whether the data is lost."""
         if self.link.fault == "delay":
-            time.sleep(random.uniform(0, LONGEST_DELAY))
+            time.sleep(random.uniform(0, MAX_DELAY))
         if self.link.fault == f"cut-{direction}":
             while self.link.fault == f"cut-{direction}":
-                time.sleep(LOOK_AGAIN)
+                time.sleep(POLL_INTERVAL)
             self.reset()
             return True
-        return self.silent
+        return self.unresponsive
 
     def reset(self):
         for end in (self.caller, self.server):
             try:
-                end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 end.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # it has ended already
+                pass  # it is closed already
             end.close()
         self.link.connections.discard(self)
 
 
 class Link:
-    """Listens on a port of its own and passes connections on to a server's."""
+    """Listens on its own port and forwards connections to a server's port."""
 
     def __init__(self, server_port):
         self.server_port = server_port
@@ -89,7 +89,7 @@
                 connection.reset()
         elif fault == "silence":
             for connection in list(self.connections):
-                connection.silent = True
+                connection.unresponsive = True
         else:
             self.fault = fault
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,9 +1,10 @@
 """A randomized soak of real gateway processes: soak/run.py PROGRAM SEED SECONDS [FOLDER]
 
-Faults come in series and overlap, chosen by the seed. Checked from what callers and targets see: a request that runs
-once runs at most once; one that was refused as not run did not run; an answer belongs to its request and is whole; a
-target that leaves gets no work three seconds later; a change of routes is in force and stays; gateways serve again after
-the faults. Ends with 1 and what was seen when one of these is broken, and keeps the gateways' logs.
+The seed selects a series of overlapping faults. The soak checks these invariants from what callers and targets observe:
+a non-idempotent request runs at most once; a request rejected as not run did not run; a response belongs to its request
+and is complete; a draining target gets no requests more than three seconds later; a change of routes takes effect and
+stays; gateways serve again after the faults. Exits with 1 and prints the violations if there are any, and keeps the
+gateways' logs.
 """
 
 import collections
@@ -18,91 +19,91 @@
 import time
 import uuid
 
-from fleet import HOST, LOOPBACK, Gateway, Store, Target, beat, configure, once_and_any
+from fleet import HOST, LOOPBACK, Gateway, Store, Target, configure, send_heartbeats, unsafe_and_safe_paths
 from link import FAULTS
 
 GATEWAYS = 4
 CALLERS = 8
-PROMISES = (503, 429, 408, 421)  # answers that say that the request did not run
-SERVED_AT_LEAST = 0.5  # of the requests after the faults
+NOT_RUN_STATUSES = (503, 429, 408, 421)  # statuses that state that the request did not run
+MIN_SERVED_SHARE = 0.5  # of the requests after the faults
 
 
 class Soak:
     def __init__(self, program, seed, seconds, folder):
         self.random = random.Random(seed)
-        # Below the system's own ports, and apart from soaks with other seeds that run beside this one.
+        # Below the system's ephemeral ports, and distinct from the ports of parallel soaks with other seeds.
         first_port = 12_000 + seed % 500 * 40
         self.seconds, self.folder = seconds, folder
         self.store = Store()
         self.lock = threading.Lock()
-        self.refused = set()  # ids of requests that were answered "not run"
-        self.once = set()  # ids of requests that may run once
-        self.broken = []
+        self.rejected = set()  # ids of requests rejected as not run
+        self.unsafe = set()  # ids of non-idempotent requests
+        self.violations = []
         self.statuses = collections.Counter()
-        self.after = collections.Counter()  # statuses after the faults
+        self.statuses_after_faults = collections.Counter()  # statuses after the faults
         self.faults_over = False
         self.ended = False
         self.version = 0
         self.targets = [Target(self.store, service, number, 0.02) for service in ("a", "b") for number in range(4)]
-        self.gone = []
+        self.drained_targets = []
         self.gateways = [Gateway(program, self.store, first_port, number, folder) for number in range(GATEWAYS)]
         self.configure("a")
 
     def configure(self, service):
-        """Writes a configuration that sends the host's requests to a service."""
+        """Writes a configuration that routes the host's requests to a service."""
         self.version += self.random.randint(1, 4)
-        configure(self.store, self.version, ("a", "b"), once_and_any(service))
+        configure(self.store, self.version, ("a", "b"), unsafe_and_safe_paths(service))
 
-    def note(self, text):
+    def add_violation(self, text):
         with self.lock:
-            self.broken.append(text)
-
-    def request(self, connection, chooser):
-        once = chooser.random() < 0.6
-        attempt = uuid.UUID(int=chooser.getrandbits(128)).hex
-        target = "/once/x" if once else "/any/x"
-        body = b"b" * chooser.randint(0, 3000) if once else b""
-        if once:
+            self.violations.append(text)
+
+    def request(self, connection, rng):
+        unsafe = rng.random() < 0.6
+        attempt = uuid.UUID(int=rng.getrandbits(128)).hex
+        target = "/once/x" if unsafe else "/any/x"
+        body = b"b" * rng.randint(0, 3000) if unsafe else b""
+        if unsafe:
             with self.lock:
-                self.once.add(attempt)
+                self.unsafe.add(attempt)
         headers = {"Host": HOST, "Attempt-Id": attempt, "Deadline-Ms": "3000"}
-        connection.request("POST" if once else "GET", target, body, headers)
-        answer = connection.getresponse()
-        text = answer.read()
+        connection.request("POST" if unsafe else "GET", target, body, headers)
+        response = connection.getresponse()
+        text = response.read()
         with self.lock:
-            (self.after if self.faults_over else self.statuses)[answer.status] += 1
-            if answer.status in PROMISES:
-                self.refused.add(attempt)
-        if answer.status == 200 and text != f"{attempt} {target} ".encode() + body:
-            self.note(f"answer to {attempt} is another's or not whole: {text[:80]!r}")
-        if answer.status == 404:
-            self.note(f"{attempt} was answered 404")
-
-    def call(self, seed):
-        """One caller: keeps its connection until it fails."""
-        chooser = random.Random(seed)
+            (self.statuses_after_faults if self.faults_over else self.statuses)[response.status] += 1
+            if response.status in NOT_RUN_STATUSES:
+                self.rejected.add(attempt)
+        if response.status == 200 and text != f"{attempt} {target} ".encode() + body:
+            self.add_violation(f"response to {attempt} belongs to another request or is incomplete: {text[:80]!r}")
+        if response.status == 404:
+            self.add_violation(f"{attempt} got 404")
+
+    def run_caller(self, seed):
+        """Runs one caller, which keeps its connection until it fails."""
+        rng = random.Random(seed)
         connection = None
         while not self.ended:
             try:
                 if connection is None:
-                    gateway = chooser.choice(self.gateways)
-                    connection = http.client.HTTPConnection(LOOPBACK, gateway.front, timeout=6)
-                self.request(connection, chooser)
+                    gateway = rng.choice(self.gateways)
+                    connection = http.client.HTTPConnection(LOOPBACK, gateway.listen_port, timeout=6)
+                self.request(connection, rng)
             except (OSError, http.client.HTTPException):
                 with self.lock:
-                    self.statuses["no answer"] += 1
+                    self.statuses["no response"] += 1
                 connection.close()
                 connection = None
-            time.sleep(chooser.uniform(0, 0.03))
+            time.sleep(rng.uniform(0, 0.03))
 
-    def record(self, *words):
-        """Writes what is done to the system beside the gateways' logs, by the same clock."""
+    def record(self, *fields):
+        """Logs an action on the system next to the gateways' logs, with timestamps of the same clock."""
         now = datetime.datetime.now(datetime.timezone.utc)
         with open(os.path.join(self.folder, "soak.log"), "a", encoding="utf-8") as log:
-            print(now.isoformat(timespec="milliseconds"), *words, file=log)
+            print(now.isoformat(timespec="milliseconds"), *fields, file=log)
 
     def fault(self):
-        """Brings one fault about, and returns its name and what ends it."""
+        """Starts a random fault. Returns its name and a function that ends it."""
         gateway = self.random.choice(self.gateways)
         target = self.random.choice(self.targets)
         kind = self.random.choice(("kill", "term", "pause", "hup", "store", "store-link", "target", "target",
@@ -133,30 +134,30 @@
         return f"target {target.id} {target.fault}", lambda: setattr(target, "fault", None)
 
     def replace(self, target):
-        if target.drained_at or self.store.fault:
+        if target.draining_since or self.store.fault:
             return lambda: None
-        self.targets.append(Target(self.store, target.service, len(self.gone) + 10, 0.02))
+        self.targets.append(Target(self.store, target.service, len(self.drained_targets) + 10, 0.02))
         target.drain()
         self.targets.remove(target)
-        self.gone.append(target)
+        self.drained_targets.append(target)
         return lambda: None
 
-    def disturb(self):
-        ends = []
+    def inject_faults(self):
+        active_faults = []
         until = time.monotonic() + self.seconds
         while time.monotonic() < until:
             for gateway in self.gateways:
                 gateway.restart()
-            lasts = self.random.uniform(0.2, 2)
+            duration = self.random.uniform(0.2, 2)
             name, end = self.fault()
             self.record("begin", name)
-            ends.append((time.monotonic() + lasts, name, end))
-            due = [entry for entry in ends if entry[0] <= time.monotonic()]
+            active_faults.append((time.monotonic() + duration, name, end))
+            due = [entry for entry in active_faults if entry[0] <= time.monotonic()]
             for entry in due:
                 self.end(entry)
-                ends.remove(entry)
+                active_faults.remove(entry)
             time.sleep(self.random.uniform(0.05, 0.6))
-        for entry in ends:
+        for entry in active_faults:
             self.end(entry)
 
     def end(self, entry):
@@ -165,7 +166,7 @@
         self.record("end", name)
 
     def settle(self):
-        """Waits until all gateways run, then lets callers call without faults."""
+        """Restarts stopped gateways until all run, then lets the callers send requests without faults."""
         until = time.monotonic() + 6
         while time.monotonic() < until:
             for gateway in self.gateways:
@@ -176,30 +177,31 @@
 
     def check(self):
         runs = collections.Counter()
-        for target in self.targets + self.gone:
+        for target in self.targets + self.drained_targets:
             runs.update(target.runs)
-            if target.late:
-                self.note(f"{target.id} got {len(target.late)} requests after its leaving, the first: {target.late[0]}")
-        for attempt in self.once:
+            if target.late_requests:
+                self.add_violation(f"{target.id} got {len(target.late_requests)} requests after it announced draining, "
+                                   f"the first: {target.late_requests[0]}")
+        for attempt in self.unsafe:
             if runs[attempt] > 1:
-                self.note(f"{attempt} may run once and ran {runs[attempt]} times")
-            if attempt in self.refused and runs[attempt] > 0:
-                self.note(f"{attempt} was refused as not run and ran")
-        total = sum(self.after.values())
-        if total == 0 or self.after[200] < SERVED_AT_LEAST * total:
-            self.note(f"after the faults: {dict(self.after)}")
+                self.add_violation(f"{attempt} is non-idempotent and ran {runs[attempt]} times")
+            if attempt in self.rejected and runs[attempt] > 0:
+                self.add_violation(f"{attempt} was rejected as not run and ran")
+        total = sum(self.statuses_after_faults.values())
+        if total == 0 or self.statuses_after_faults[200] < MIN_SERVED_SHARE * total:
+            self.add_violation(f"after the faults: {dict(self.statuses_after_faults)}")
 
     def run(self):
         for gateway in self.gateways:
             gateway.start()
-        threads = [threading.Thread(target=self.call, args=(self.random.getrandbits(32),), daemon=True)
+        threads = [threading.Thread(target=self.run_caller, args=(self.random.getrandbits(32),), daemon=True)
                    for _ in range(CALLERS)]
-        threads.append(threading.Thread(target=beat, args=(self,), daemon=True))
+        threads.append(threading.Thread(target=send_heartbeats, args=(self,), daemon=True))
         time.sleep(1.5)
         for thread in threads:
             thread.start()
         try:
-            self.disturb()
+            self.inject_faults()
             self.settle()
             self.ended = True
             for thread in threads:
@@ -209,7 +211,7 @@
             self.ended = True
             for gateway in self.gateways:
                 gateway.stop()
-        return self.broken
+        return self.violations
 
 
 def main():
@@ -217,13 +219,14 @@
     folder = sys.argv[4] if len(sys.argv) > 4 else tempfile.mkdtemp(prefix="mulberryplank-soak-")
     os.makedirs(folder, exist_ok=True)
     soak = Soak(program, seed, seconds, folder)
-    broken = soak.run()
-    print(f"soak: seed {seed}: {dict(soak.statuses)}, after the faults {dict(soak.after)}, broken {len(broken)}")
-    for line in broken[:10]:
+    violations = soak.run()
+    print(f"soak: seed {seed}: {dict(soak.statuses)}, after the faults {dict(soak.statuses_after_faults)}, "
+          f"violations {len(violations)}")
+    for line in violations[:10]:
         print("  " + line)
-    if broken:
+    if violations:
         print(f"  logs: {folder}")
-    return 1 if broken else 0
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/standin/awaitable.h
+++ b/standin/awaitable.h
@@ -6,7 +6,7 @@
 namespace standin
 {
 
-// Makes an operation return its error code instead of throwing it.
+// Completion token that makes an operation return its error code instead of throwing it.
 inline constexpr auto Awaitable = boost::asio::as_tuple(boost::asio::use_awaitable);
 
 } // namespace standin
--- a/standin/caller.py
+++ b/standin/caller.py
@@ -1,5 +1,5 @@
-"""Callers as docs/CALLERS.md wants them: they ask the fleet where to go, keep the answer for as long as it says, and go
-to the next address where no connection can be made. What was sent is never sent again."""
+"""Callers that follow docs/CALLERS.md. They locate a service through the fleet, cache the location for its lifetime and
+try the next address when connecting fails. A request that was sent is resent only if its response has Retry-After."""
 import http.client
 import json
 import random
@@ -10,15 +10,15 @@
 from loopback import HOST
 
 TIMEOUT_SECONDS = 20
-MOST_REPEATS = 2
+MAX_RETRIES = 2
 
 
-class Lost(Exception):
-    """A request that was sent and got no whole answer."""
+class NoResponse(Exception):
+    """Raised for a request without a complete response."""
 
 
 @dataclass
-class Answer:
+class Response:
     status: int
     headers: object
     body: bytes
@@ -31,82 +31,82 @@
 class Location:
     addresses: list
     token: str
-    until: float
+    expires_at: float
 
 
 class Caller:
-    """One client account's caller. Used by one thread."""
+    """A caller of one client account. Must be used by one thread only."""
 
     def __init__(self, account, secret, ports, seed=1):
         self.authorization = {"Authorization": f"Bearer {account}.{secret}"}
         self.account = account
-        self.ports = list(ports)  # of proxies to begin with
+        self.ports = list(ports)  # of the initially known proxies
         self.random = random.Random(seed)
         self.locations = {}
         self.connections = {}
-        self.refusals = []  # of the request under way
+        self.rejections = []  # responses to the current request that permitted a retry
 
     def location(self, service):
-        """Returns where the service is, from the last answer if it may still be used."""
-        known = self.locations.get(service)
-        if known and time.monotonic() < known.until:
-            return known
+        """Returns the location of the service, from the cache if it has not expired."""
+        cached = self.locations.get(service)
+        if cached and time.monotonic() < cached.expires_at:
+            return cached
         for port in self.known_ports():
-            asked = time.monotonic()
-            answer = self.on_any([port], "GET", f"/-/locate/{service}", optional=True)
-            if answer and answer.status == 200:
+            requested_at = time.monotonic()
+            response = self.send_to_any([port], "GET", f"/-/locate/{service}", optional=True)
+            if response and response.status == 200:
                 break
         else:
-            raise Lost(f"locate {service}: no proxy answered; the last one: {answer}")
-        found = answer.json()
-        self.locations[service] = Location(found["addresses"], answer.headers["X-Once-Token"],
-                                           asked + found["lifetime_ms"] / 1000)
-        self.drop_unlisted()
+            raise NoResponse(f"locate {service}: no proxy responded with a location; last response: {response}")
+        location = response.json()
+        self.locations[service] = Location(location["addresses"], response.headers["X-Once-Token"],
+                                           requested_at + location["lifetime_ms"] / 1000)
+        self.close_unlisted()
         return self.locations[service]
 
     def request(self, method, service, path, body=None, headers=None):
-        """Sends a request to one of the service's addresses, chosen by weight, and returns its answer."""
+        """Sends a request to one of the service's addresses, chosen at random by weight, and returns the response."""
         entries = self.location(service).addresses
         if not entries:
-            raise Lost(f"locate {service}: no addresses")
-        keyed = sorted(entries, key=lambda entry: self.random.random() ** (1 / entry["weight"]), reverse=True)
-        return self.on_any([entry["port"] for entry in keyed], method, f"/{service}{path}", body, headers)
+            raise NoResponse(f"locate {service}: no addresses")
+        by_weight = sorted(entries, key=lambda entry: self.random.random() ** (1 / entry["weight"]), reverse=True)
+        return self.send_to_any([entry["port"] for entry in by_weight], method, f"/{service}{path}", body, headers)
 
-    def repeating(self, method, service, path, body=None, headers=None):
-        """Sends a request, and again after each answer that allows it by a Retry-After, a few times."""
-        self.refusals = []
+    def request_with_retries(self, method, service, path, body=None, headers=None):
+        """Sends a request, and retries it up to MAX_RETRIES times after responses with a Retry-After header."""
+        self.rejections = []
         while True:
-            answer = self.request(method, service, path, body, headers)
-            if answer.status == 200 or "Retry-After" not in answer.headers or len(self.refusals) == MOST_REPEATS:
-                return answer
-            self.refusals.append(f"{answer.status} {answer.json()['error']}")
-            time.sleep(float(answer.headers["Retry-After"]))
-
-    def on_any(self, ports, method, path, body=None, headers=None, optional=False):
-        """Sends a request to the first of the ports that takes a connection. With `optional`, returns None if there is
-        none."""
+            response = self.request(method, service, path, body, headers)
+            if response.status == 200 or "Retry-After" not in response.headers or len(self.rejections) == MAX_RETRIES:
+                return response
+            self.rejections.append(f"{response.status} {response.json()['error']}")
+            time.sleep(float(response.headers["Retry-After"]))
+
+    def send_to_any(self, ports, method, path, body=None, headers=None, optional=False):
+        """Sends a request to the first of the ports that accepts a connection. If none does, returns None with
+        `optional`, and raises NoResponse without it."""
         for port in ports:
             connection = self.connection(port)
             if connection is not None:
                 return self.exchange(port, connection, method, path, body, headers)
         if optional:
             return None
-        raise Lost(f"{method} {path}: no proxy takes a connection")
+        raise NoResponse(f"{method} {path}: no proxy accepts a connection")
 
     def exchange(self, port, connection, method, path, body, headers):
         try:
             connection.request(method, path, body, {**self.authorization, **(headers or {})})
-            answer = connection.getresponse()
-            whole = Answer(answer.status, answer.headers, answer.read())
+            response = connection.getresponse()
+            complete = Response(response.status, response.headers, response.read())
         except (OSError, http.client.HTTPException) as problem:
             self.connections.pop(port).close()
-            raise Lost(f"{method} {path} on port {port}: {problem!r}") from problem
-        if answer.will_close:
+            raise NoResponse(f"{method} {path} on port {port}: {problem!r}") from problem
+        if response.will_close:
             self.connections.pop(port).close()
-        return whole
+        return complete
 
     def connection(self, port):
-        """Returns an open connection, or None if none can be made."""
+        """Returns an open connection, or None if connecting fails."""
         if port not in self.connections:
             connection = http.client.HTTPConnection(HOST, port, timeout=TIMEOUT_SECONDS)
             try:
@@ -117,15 +117,15 @@
         return self.connections[port]
 
     def known_ports(self):
-        """Returns the proxies' ports, those named last first."""
-        named = [entry["port"] for location in self.locations.values() for entry in location.addresses]
-        self.random.shuffle(named)
-        return list(dict.fromkeys(named + self.ports))
-
-    def drop_unlisted(self):
-        """Closes connections to proxies that no location names any longer."""
-        named = {entry["port"] for location in self.locations.values() for entry in location.addresses}
-        for port in [port for port in self.connections if port not in named]:
+        """Returns the ports of all known proxies, those in cached locations first."""
+        listed = [entry["port"] for location in self.locations.values() for entry in location.addresses]
+        self.random.shuffle(listed)
+        return list(dict.fromkeys(listed + self.ports))
+
+    def close_unlisted(self):
+        """Closes connections to proxies that are in no cached location."""
+        listed = {entry["port"] for location in self.locations.values() for entry in location.addresses}
+        for port in [port for port in self.connections if port not in listed]:
             self.connections.pop(port).close()
 
     def close(self):
@@ -136,18 +136,18 @@
 
 @dataclass
 class Record:
-    """One request of a Traffic and what came of it."""
+    """One request of a Traffic and its result."""
     sent_at: float
     seconds: float
     name: str
-    problem: str  # empty if the whole answer was right
-    refusals: list  # what it was answered before, when it was repeated as the answer allowed
+    problem: str  # empty if the response was complete and correct
+    rejections: list  # earlier responses that permitted a retry
 
 
 @dataclass
 class Traffic:
-    """Requests at a fixed rate from several callers, until stop(). `request(caller, name)` sends the one of that name
-    and returns what is wrong with the answer, or an empty text."""
+    """Sends requests at a fixed rate from several callers, until stop(). `request(caller, name)` sends the request with
+    that name and returns what is wrong with the response, or an empty string."""
     callers: list
     per_second: float
     request: object
@@ -158,16 +158,16 @@
     def start(self):
         begin = time.monotonic()
         for index, caller in enumerate(self.callers):
-            thread = threading.Thread(target=self.drive, args=(caller, index, begin), daemon=True)
+            thread = threading.Thread(target=self.run_caller, args=(caller, index, begin), daemon=True)
             self.threads.append(thread)
             thread.start()
         return self
 
-    def drive(self, caller, index, begin):
+    def run_caller(self, caller, index, begin):
         number = index
         while True:
-            pause = begin + number / self.per_second - time.monotonic()
-            if self.stopping.wait(max(0, pause)):
+            delay = begin + number / self.per_second - time.monotonic()
+            if self.stopping.wait(max(0, delay)):
                 break
             self.send(caller, f"{caller.account}-{number}")
             number += len(self.callers)
@@ -175,23 +175,23 @@
 
     def send(self, caller, name):
         sent_at = time.monotonic()
-        caller.refusals = []
+        caller.rejections = []
         try:
             problem = self.request(caller, name)
-        except Lost as lost:
-            problem = str(lost)
-        self.records.append(Record(sent_at, time.monotonic() - sent_at, name, problem, caller.refusals))
+        except NoResponse as failure:
+            problem = str(failure)
+        self.records.append(Record(sent_at, time.monotonic() - sent_at, name, problem, caller.rejections))
 
     def stop(self):
-        """Lets requests under way end, and returns all records."""
+        """Waits for the requests in flight and returns all records."""
         self.stopping.set()
         for thread in self.threads:
             thread.join()
         return self.records
 
-    def refused(self):
-        """Returns the records of requests that had to be repeated."""
-        return [record for record in self.records if record.refusals]
+    def retried(self):
+        """Returns the records of requests that were retried."""
+        return [record for record in self.records if record.rejections]
 
     def problems(self):
         return [record.problem for record in self.records if record.problem]
--- a/standin/commandline.cpp
+++ b/standin/commandline.cpp
@@ -20,24 +20,24 @@
 constexpr int HelpColumn = 34;
 
 template<typename Number>
-Number parseNumber(const std::string &text, Number least, Number most)
+Number parseNumber(const std::string &text, Number minimum, Number maximum)
 {
     Number number {};
     const char *end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, number);
-    if (parsed.ec != std::errc {} || parsed.ptr != end || number < least || number > most) {
+    if (parsed.ec != std::errc {} || parsed.ptr != end || number < minimum || number > maximum) {
         std::ostringstream allowed;
-        allowed << "allowed is a number from " << least << " to " << most;
+        allowed << "must be a number from " << minimum << " to " << maximum;
         throw UsageError(allowed.str());
     }
     return number;
 }
 
 template<typename Number>
-std::function<void(const std::string &)> numberInto(Number &number, Number least, Number most)
+std::function<void(const std::string &)> storeNumber(Number &number, Number minimum, Number maximum)
 {
-    return [&number, least, most](const std::string &text) {
-        number = parseNumber(text, least, most);
+    return [&number, minimum, maximum](const std::string &text) {
+        number = parseNumber(text, minimum, maximum);
     };
 }
 
@@ -52,36 +52,36 @@
 void CommandLine::add(std::string name,
                       std::string value,
                       std::string help,
-                      std::function<void(const std::string &)> take)
+                      std::function<void(const std::string &)> store)
 {
-    m_flags.push_back({ std::move(name), std::move(value), std::move(help), std::move(take) });
+    m_flags.push_back({ std::move(name), std::move(value), std::move(help), std::move(store) });
 }
 
 void CommandLine::addNumber(
-    std::string name, std::string help, std::size_t &number, std::size_t least, std::size_t most)
+    std::string name, std::string help, std::size_t &number, std::size_t minimum, std::size_t maximum)
 {
     help += " (" + std::to_string(number) + ")";
-    add(std::move(name), "N", std::move(help), numberInto(number, least, most));
+    add(std::move(name), "N", std::move(help), storeNumber(number, minimum, maximum));
 }
 
-void CommandLine::addNumber(std::string name, std::string help, double &number, double least, double most)
+void CommandLine::addNumber(std::string name, std::string help, double &number, double minimum, double maximum)
 {
-    std::ostringstream standard;
-    standard << " (" << number << ")";
-    add(std::move(name), "X", help + standard.str(), numberInto(number, least, most));
+    std::ostringstream defaultText;
+    defaultText << " (" << number << ")";
+    add(std::move(name), "X", help + defaultText.str(), storeNumber(number, minimum, maximum));
 }
 
 void CommandLine::addText(std::string name, std::string value, std::string help, std::string &text)
 {
-    add(std::move(name), std::move(value), std::move(help), [&text](const std::string &given) {
-        text = given;
+    add(std::move(name), std::move(value), std::move(help), [&text](const std::string &argumentText) {
+        text = argumentText;
     });
 }
 
-void CommandLine::addSwitch(std::string name, std::string help, bool &on)
+void CommandLine::addSwitch(std::string name, std::string help, bool &enabled)
 {
-    add(std::move(name), {}, std::move(help), [&on](const std::string &) {
-        on = true;
+    add(std::move(name), {}, std::move(help), [&enabled](const std::string &) {
+        enabled = true;
     });
 }
 
@@ -96,20 +96,20 @@
     }
     options.push_back({ nullptr, 0, nullptr, 0 });
     optind = 1;
-    for (int found = 0; (found = getopt_long(argc, argv, "", options.data(), nullptr)) != -1;) {
-        if (found == HelpValue) {
+    for (int optionCode = 0; (optionCode = getopt_long(argc, argv, "", options.data(), nullptr)) != -1;) {
+        if (optionCode == HelpValue) {
             printHelp();
             return false;
         }
-        if (found == '?') {
+        if (optionCode == '?') {
             throw UsageError("see " + m_command + " --help");
         }
-        const Flag &flag = m_flags[static_cast<std::size_t>(found - FirstFlagValue)];
-        const std::string given = optarg ? optarg : "";
+        const Flag &flag = m_flags[static_cast<std::size_t>(optionCode - FirstFlagValue)];
+        const std::string argumentText = optarg ? optarg : "";
         try {
-            flag.take(given);
+            flag.store(argumentText);
         } catch (const std::exception &error) {
-            throw UsageError("--" + flag.name + " " + given + ": " + error.what());
+            throw UsageError("--" + flag.name + " " + argumentText + ": " + error.what());
         }
     }
     if (optind < argc) {
@@ -126,7 +126,7 @@
         std::cout << std::left << std::setw(HelpColumn) << left << flag.help << "\n";
     }
     std::cout << std::left << std::setw(HelpColumn) << "  --help"
-              << "print this\n";
+              << "print this help and exit\n";
 }
 
 Address parseAddress(const std::string &text)
@@ -135,7 +135,7 @@
     boost::system::error_code error;
     const auto ip = boost::asio::ip::make_address(text.substr(0, colon), error);
     if (colon == std::string::npos || error) {
-        throw UsageError("allowed is IP:PORT, such as 127.0.0.1:21001");
+        throw UsageError("must be IP:PORT, such as 127.0.0.1:21001");
     }
     return { ip.to_string(), parseNumber<unsigned short>(text.substr(colon + 1), 0, 65535) };
 }
--- a/standin/demofaults.py
+++ b/standin/demofaults.py
@@ -1,29 +1,29 @@
-"""The steps of the demo in which something fails or leaves: gray targets, a proxy that drains, a log that is away."""
+"""The steps of the demo with failures: targets with gray failures, a draining proxy, and an outage of the log."""
 import time
 
 from caller import Traffic
-from demorun import alive, read_answer, runs
-from loopback import begin_operate, end_operate, standin, wait_for
+from demorun import alive_vms, check_read, count_runs
+from loopback import control_standin, finish_command, start_command, wait_for
 
 ACCOUNTS = ("town-shops", "coast-clinics")
 CALLERS_PER_ACCOUNT = 4
-READS_PER_SECOND = 240  # a light load: a twentieth of what tracker's 28 slots can do at 5 ms a request
+READS_PER_SECOND = 240  # light load: a twentieth of the capacity of tracker's 28 slots at 5 ms per request
 BOOKINGS_PER_SECOND = 30
 GRAY_SERVICE = "tracker"
-SLOW = "tracker-01"
-HANGING = "tracker-02"
-MORE_SICK = ("tracker-03", "tracker-04")
-CALM_READS = 300  # before the first fault
-EJECT_SECONDS = 20
-AFTER_SECONDS = 2.0
-MOST_SHARE_AFTER = 0.03  # of the requests, for a target that is out: only trials
+SLOW_TARGET = "tracker-01"
+HANGING_TARGET = "tracker-02"
+MORE_FAULTY = ("tracker-03", "tracker-04")
+READS_BEFORE_FAULTS = 300  # before the first fault
+EJECTION_TIMEOUT_SECONDS = 20
+EJECTED_SECONDS = 2.0
+MAX_EJECTED_SHARE = 0.03  # share of the requests that an ejected target may get, for trials only
 FLOOR_SECONDS = 4.0
-# Until a hanging target is out, more requests wait for it than the budget for second attempts covers; their callers get
-# 504 with Retry-After, as docs/CALLERS.md says.
-MOST_REPEATED_SHARE = 0.01
+# Until a hanging target is ejected, more requests wait for it than the retry budget covers. Their callers get 504 with
+# Retry-After, as described in docs/CALLERS.md.
+MAX_RETRIED_SHARE = 0.01
 SAMPLE_SECONDS = 0.1
-OUT_PHASES = ("ejected", "trial")
-SOME_READS = 300
+EJECTED_PHASES = ("ejected", "trial")
+READS_TO_AWAIT = 300
 EDIT = ("table", "set", "town-shops", "addressbook", "weight=6")
 
 
@@ -33,170 +33,173 @@
 
 def read_traffic(demo, service, seed):
     return Traffic(callers(demo, seed), READS_PER_SECOND,
-                   lambda caller, name: read_answer(caller, name, service)).start()
+                   lambda caller, name: check_read(caller, name, service)).start()
 
 
 def booking_traffic(demo, prefix, seed):
-    """Bookings that each have a name and a key of their own."""
+    """Sends bookings, each with its own name and key."""
     def send(caller, name):
         operation = f"{prefix}-{name}"
         headers = {"Idempotency-Key": f"{caller.location('pressdesk').token}/{operation}"}
-        answer = caller.request("POST", "pressdesk", "/bookings", f'{{"operation_id":"{operation}"}}', headers)
-        return "" if answer.status == 200 else f"booking {operation}: {answer.status} {answer.body!r}"
+        response = caller.request("POST", "pressdesk", "/bookings", f'{{"operation_id":"{operation}"}}', headers)
+        return "" if response.status == 200 else f"booking {operation}: {response.status} {response.body!r}"
     return Traffic(callers(demo, seed), BOOKINGS_PER_SECOND, send).start()
 
 
-def more_records(traffic, count, seconds=EJECT_SECONDS):
-    """Waits for so many more requests to end."""
-    wanted = len(traffic.records) + count
-    wait_for(f"{count} more requests end", lambda: len(traffic.records) >= wanted, seconds)
+def wait_for_records(traffic, count, seconds=EJECTION_TIMEOUT_SECONDS):
+    """Waits until `count` more requests have completed."""
+    expected_count = len(traffic.records) + count
+    wait_for(f"{count} more requests complete", lambda: len(traffic.records) >= expected_count, seconds)
 
 
-class HealthWatch:
-    """Reads again and again what all proxies say of a service's targets, and checks the floor each time."""
+class EjectionMonitor:
+    """Polls all proxies for the phases of a service's targets, and checks the floor at each poll."""
 
     def __init__(self, demo, service):
         self.demo = demo
         self.service = service
         self.last = {}
-        self.most_out = 0
+        self.max_ejected = 0
         self.floor_bound = False
 
     def sample(self):
-        """Returns the targets that are out of service at each proxy, by VM."""
-        out = {}
+        """Returns the ejected targets at each proxy, by VM."""
+        ejected = {}
         for proxy in self.demo.proxies:
             [found] = [each for each in proxy.status()["services"] if each["service"] == self.service]
-            out[proxy.vm] = {target["target"] for target in found["targets"] if target["phase"] in OUT_PHASES}
+            ejected[proxy.vm] = {target["target"] for target in found["targets"] if target["phase"] in EJECTED_PHASES}
             self.floor_bound = self.floor_bound or found["floor_binds"]
             floor, targets = found["floor"], len(found["targets"])
-        # The proxies are read one after another. What was out at a proxy in the round before and still is was out
-        # in between, so all of this was out at one time.
-        together = set().union(*(out[vm] & self.last.get(vm, set()) for vm in out))
-        self.most_out = max(self.most_out, len(together))
-        self.demo.check("the floor holds", targets - len(together) >= floor,
-                        f"{sorted(together)} out of {targets} are out at once, floor {floor}")
+        # The proxies are polled one after another. A target that was ejected at a proxy in the previous round and
+        # still is was ejected in between, so all these targets were ejected at the same time.
+        ejected_at_once = set().union(*(ejected[vm] & self.last.get(vm, set()) for vm in ejected))
+        self.max_ejected = max(self.max_ejected, len(ejected_at_once))
+        self.demo.check("the floor is respected", targets - len(ejected_at_once) >= floor,
+                        f"{sorted(ejected_at_once)} out of {targets} are ejected at once, floor {floor}")
         self.floor = floor
-        self.last = out
-        return out
+        self.last = ejected
+        return ejected
 
-    def until(self, what, holds, seconds):
-        wait_for(what, lambda: holds(self.sample()), seconds)
+    def wait_until(self, what, condition, seconds):
+        wait_for(what, lambda: condition(self.sample()), seconds)
 
-    def during(self, seconds):
+    def sample_for(self, seconds):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.sample()
             time.sleep(SAMPLE_SECONDS)
 
 
-def started(demo, service):
-    """Returns how many requests each of the service's targets has begun."""
-    return {name: standin(port, "/-/counters")["started"] for name, port in demo.targets[service].items()}
+def started_counts(demo, service):
+    """Returns the number of requests that each of the service's targets has started."""
+    return {name: control_standin(port, "/-/counters")["started"] for name, port in demo.targets[service].items()}
 
 
-def switch(demo, service, target, **faults):
-    standin(demo.targets[service][target], "/-/faults", faults)
+def set_faults(demo, service, target, **faults):
+    control_standin(demo.targets[service][target], "/-/faults", faults)
 
 
-def await_ejection(demo, watch, sick, before, since):
-    """Waits until all proxies have taken the targets out, and says how long each took."""
-    waiting = set(sick)
+def await_ejection(demo, monitor, faulty, before, since):
+    """Waits until all proxies have ejected the targets, and reports the time for each target."""
+    waiting = set(faulty)
     while waiting:
-        def newly_out(out):
-            return {target for target in waiting if all(target in each for each in out.values())}
+        def newly_ejected(ejected):
+            return {target for target in waiting if all(target in each for each in ejected.values())}
         done = []
-        watch.until(f"{sorted(waiting)} out of service at all proxies", lambda out: done.extend(newly_out(out)) or done,
-                    EJECT_SECONDS)
-        now = started(demo, GRAY_SERVICE)
+        monitor.wait_until(f"{sorted(waiting)} ejected at all proxies",
+                           lambda ejected: done.extend(newly_ejected(ejected)) or done, EJECTION_TIMEOUT_SECONDS)
+        now = started_counts(demo, GRAY_SERVICE)
         for target in set(done):
             waiting.discard(target)
-            demo.say(f"{target} {sick[target]}: out at all proxies after {time.monotonic() - since:.1f} s and "
-                     f"{now[target] - before[target]} requests")
+            demo.report(f"{target} {faulty[target]}: ejected at all proxies after {time.monotonic() - since:.1f} s and "
+                        f"{now[target] - before[target]} requests")
 
 
-def make_gray(demo):
-    """Makes one target slow and another one hang; they lose their traffic. With four of seven sick the floor holds."""
+def inject_gray_failures(demo):
+    """Makes one target slow and another one hang; both are ejected. With four of seven faulty the floor holds."""
     traffic = read_traffic(demo, GRAY_SERVICE, 100)
-    watch = HealthWatch(demo, GRAY_SERVICE)
-    more_records(traffic, CALM_READS)
-    demo.check("no target is out before the first fault", not any(watch.sample().values()), watch.last)
-    demo.check("all reads before it are right", not traffic.problems(), traffic.problems()[:3])
-    refused = [record.refusals for record in traffic.refused()]
-    demo.check("no read far below the table's limits is refused", not refused, f"{len(refused)}, {refused[:3]}")
-    before = started(demo, GRAY_SERVICE)
+    monitor = EjectionMonitor(demo, GRAY_SERVICE)
+    wait_for_records(traffic, READS_BEFORE_FAULTS)
+    demo.check("no target is ejected before the first fault", not any(monitor.sample().values()), monitor.last)
+    demo.check("all reads before it succeed", not traffic.problems(), traffic.problems()[:3])
+    rejections = [record.rejections for record in traffic.retried()]
+    demo.check("no read far below the table's limits is rejected", not rejections,
+               f"{len(rejections)}, {rejections[:3]}")
+    before = started_counts(demo, GRAY_SERVICE)
     since = time.monotonic()
-    switch(demo, GRAY_SERVICE, SLOW, slow_factor=10)
-    switch(demo, GRAY_SERVICE, HANGING, hang_share=1)
-    await_ejection(demo, watch, {SLOW: "is 10 times slower", HANGING: "hangs"}, before, since)
-    before = started(demo, GRAY_SERVICE)
-    watch.during(AFTER_SECONDS)
-    after = started(demo, GRAY_SERVICE)
+    set_faults(demo, GRAY_SERVICE, SLOW_TARGET, slow_factor=10)
+    set_faults(demo, GRAY_SERVICE, HANGING_TARGET, hang_share=1)
+    await_ejection(demo, monitor, {SLOW_TARGET: "is 10 times slower", HANGING_TARGET: "hangs"}, before, since)
+    before = started_counts(demo, GRAY_SERVICE)
+    monitor.sample_for(EJECTED_SECONDS)
+    after = started_counts(demo, GRAY_SERVICE)
     total = sum(after.values()) - sum(before.values())
-    shares = {target: (after[target] - before[target]) / max(1, total) for target in (SLOW, HANGING)}
-    demo.check("gray targets get no traffic but trials", max(shares.values()) <= MOST_SHARE_AFTER, shares)
-    demo.say(f"share of traffic then: {', '.join(f'{name} {share:.1%}' for name, share in shares.items())} "
-             f"of {total} requests")
-    for target in MORE_SICK:
-        switch(demo, GRAY_SERVICE, target, slow_factor=10)
-    watch.during(FLOOR_SECONDS)
-    demo.say(f"four of seven are sick: {watch.most_out} out at most, floor {watch.floor} held"
-             + (", floor-binds was shown" if watch.floor_bound else ""))
-    for target in (SLOW, HANGING, *MORE_SICK):
-        switch(demo, GRAY_SERVICE, target, slow_factor=1, hang_share=0)
+    shares = {target: (after[target] - before[target]) / max(1, total) for target in (SLOW_TARGET, HANGING_TARGET)}
+    demo.check("faulty targets get no traffic except trials", max(shares.values()) <= MAX_EJECTED_SHARE, shares)
+    demo.report(f"share of traffic after ejection: "
+                f"{', '.join(f'{name} {share:.1%}' for name, share in shares.items())} "
+                f"of {total} requests")
+    for target in MORE_FAULTY:
+        set_faults(demo, GRAY_SERVICE, target, slow_factor=10)
+    monitor.sample_for(FLOOR_SECONDS)
+    demo.report(f"four of seven are faulty: {monitor.max_ejected} ejected at most, floor {monitor.floor} respected"
+                + (", floor-binds was reported" if monitor.floor_bound else ""))
+    for target in (SLOW_TARGET, HANGING_TARGET, *MORE_FAULTY):
+        set_faults(demo, GRAY_SERVICE, target, slow_factor=1, hang_share=0)
     records = traffic.stop()
     problems = traffic.problems()
-    demo.check("all reads were answered", not problems, f"{len(problems)} of {len(records)}: {problems[:3]}")
-    refused = traffic.refused()
-    share = len(refused) / len(records)
-    demo.check("few reads had to be repeated", share <= MOST_REPEATED_SHARE,
-               f"{len(refused)} of {len(records)}: {[record.refusals for record in refused[:3]]}")
-    demo.say(f"all {len(records)} reads of two accounts were answered rightly meanwhile, {len(refused)} ({share:.1%}) "
-             f"only when repeated as the answer's Retry-After allowed")
+    demo.check("all reads succeeded", not problems, f"{len(problems)} of {len(records)}: {problems[:3]}")
+    retried = traffic.retried()
+    share = len(retried) / len(records)
+    demo.check("few reads had to be retried", share <= MAX_RETRIED_SHARE,
+               f"{len(retried)} of {len(records)}: {[record.rejections for record in retried[:3]]}")
+    demo.report(f"all {len(records)} reads of two accounts succeeded meanwhile, {len(retried)} ({share:.1%}) of "
+                f"them after a retry that the response's Retry-After permitted")
 
 
 def check_traffic(demo, what, traffic, bookings, prefix):
-    """Ends both kinds of traffic and checks that all of it was answered, and each booking ran once."""
+    """Stops reads and bookings. Checks that all of them succeeded and that each booking ran once."""
     records = traffic.stop()
     booked = bookings.stop()
     problems = traffic.problems() + bookings.problems()
-    problems += [f"{record.name}: {record.refusals}" for record in traffic.refused()]
+    problems += [f"{record.name}: {record.rejections}" for record in traffic.retried()]
     total = len(records) + len(booked)
-    demo.check(f"nothing is lost or refused {what}", not problems, f"{len(problems)} of {total}: {problems[:3]}")
+    demo.check(f"no request is lost or rejected {what}", not problems, f"{len(problems)} of {total}: {problems[:3]}")
     counts = {}
     for port in demo.targets["pressdesk"].values():
-        for name, count in standin(port, "/-/runs").items():
+        for name, count in control_standin(port, "/-/runs").items():
             counts[name] = counts.get(name, 0) + count
     wrong = [record.name for record in booked if counts.get(f"{prefix}-{record.name}") != 1]
     demo.check(f"each booking ran once {what}", not wrong, wrong[:5])
-    demo.say(f"{what}: {len(records)} reads and {len(booked)} bookings answered, each booking ran once")
+    demo.report(f"{what}: {len(records)} reads and {len(booked)} bookings succeeded, each booking ran once")
 
 
 def drain_proxy(demo):
-    """Ends one proxy with SIGTERM under load; nothing is lost."""
-    leaving = demo.proxies[1]
+    """Terminates one proxy with SIGTERM under load. No request is lost."""
+    draining = demo.proxies[1]
     traffic = read_traffic(demo, "addressbook", 200)
     bookings = booking_traffic(demo, "drain", 300)
-    more_records(traffic, SOME_READS)
-    demo.processes.running[leaving.vm].terminate()
-    status = demo.processes.wait(leaving.vm)
-    demo.check(f"{leaving.vm} ends with 0", status == 0, status)
-    more_records(traffic, SOME_READS)
-    rest = [proxy for proxy in demo.proxies if proxy is not leaving]
-    for proxy in rest:
-        wait_for(f"{proxy.vm} no longer names {leaving.vm}", lambda proxy=proxy: leaving.vm not in alive(proxy))
-    check_traffic(demo, f"while {leaving.vm} drained", traffic, bookings, "drain")
-
-
-def take_log_down(demo):
-    """Takes the log down, and tries an edit, which is refused. Meanwhile the fleet goes on: callers are served, a proxy
-    drains and another one, started anew, gets the configuration from the others."""
+    wait_for_records(traffic, READS_TO_AWAIT)
+    demo.processes.running[draining.vm].terminate()
+    status = demo.processes.wait(draining.vm)
+    demo.check(f"{draining.vm} exits with 0", status == 0, status)
+    wait_for_records(traffic, READS_TO_AWAIT)
+    others = [proxy for proxy in demo.proxies if proxy is not draining]
+    for proxy in others:
+        wait_for(f"{proxy.vm} no longer has {draining.vm} as an alive member",
+                 lambda proxy=proxy: draining.vm not in alive_vms(proxy))
+    check_traffic(demo, f"while {draining.vm} drained", traffic, bookings, "drain")
+
+
+def start_log_outage(demo):
+    """Starts an outage of the log and tries an edit, which is rejected. Meanwhile the fleet continues to serve callers.
+    A proxy drains, restarts and gets the configuration from the other proxies."""
     first = demo.proxies[0]
-    standin(demo.log, "/-/faults", {"outage": True})
-    wait_for("all proxies that read the log notice that it is away",
+    control_standin(demo.log, "/-/faults", {"outage": True})
+    wait_for("all proxies that read the log detect the outage",
              lambda: not any(proxy.status()["log_reachable"] for proxy in demo.proxies if proxy.status()["reads_log"]))
-    refused = begin_operate([first], *EDIT)
-    demo.say("the log is away, and an edit under way")
+    edit_command = start_command([first], *EDIT)
+    demo.report("the log is unavailable, and an edit is in progress")
     drain_proxy(demo)
     traffic = read_traffic(demo, "addressbook", 400)
     bookings = booking_traffic(demo, "outage", 500)
@@ -204,23 +207,24 @@
     demo.start_proxy(restarted)
     wait_for(f"{restarted.vm} is ready without the log", restarted.ready)
     names = {proxy.vm for proxy in demo.proxies}
-    wait_for(f"{restarted.vm} is one of three again", lambda: alive(first) == names)
-    demo.say(f"{restarted.vm}, started anew, got the configuration from the others")
-    more_records(traffic, SOME_READS)
-    status, output = end_operate(refused)
-    demo.check("an edit is refused while the log is away", status == 3, f"{status}, {output}")
-    demo.say(f"the edit is refused: {output.splitlines()[1]}")
-    check_traffic(demo, "while the log was away", traffic, bookings, "outage")
-
-
-def bring_log_back(demo):
-    """Brings the log back; the edit that was refused is accepted."""
-    back = time.monotonic()
-    standin(demo.log, "/-/faults", {"outage": False})
-    wait_for("all proxies see the log again", lambda: all(proxy.status()["log_reachable"] for proxy in demo.proxies))
-    seen = time.monotonic() - back
-    output = demo.operate(*EDIT)
+    wait_for(f"{restarted.vm} is an alive member again", lambda: alive_vms(first) == names)
+    demo.report(f"{restarted.vm} restarted and got the configuration from the other proxies")
+    wait_for_records(traffic, READS_TO_AWAIT)
+    status, output = finish_command(edit_command)
+    demo.check("an edit is rejected while the log is unavailable", status == 3, f"{status}, {output}")
+    demo.report(f"the edit is rejected: {output.splitlines()[1]}")
+    check_traffic(demo, "while the log was unavailable", traffic, bookings, "outage")
+
+
+def end_log_outage(demo):
+    """Ends the outage of the log. The edit that was rejected is accepted."""
+    restored_at = time.monotonic()
+    control_standin(demo.log, "/-/faults", {"outage": False})
+    wait_for("all proxies reach the log again", lambda: all(proxy.status()["log_reachable"] for proxy in demo.proxies))
+    seconds = time.monotonic() - restored_at
+    output = demo.run_command(*EDIT)
     for proxy in demo.proxies:
         found = demo.weights(proxy, "town-shops", "addressbook")
         demo.check(f"{proxy.vm} has weight 6 in table and queue", found == [6, 6], found)
-    demo.say(f"the log is back, seen by all within {seen:.1f} s; the edit: {demo.last_line(output)}")
+    demo.report(f"the log is available again, reached by all proxies within {seconds:.1f} s; "
+                f"the edit: {demo.last_line(output)}")
--- a/standin/download.cpp
+++ b/standin/download.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view DownloadPrefix = "/download/";
 constexpr std::string_view BytesUnit = "bytes=";
-// A prime, so that the content doesn't repeat in step with any power of two that a reader may use as its chunk.
+// A prime, so that the period of the content differs from any chunk size of a reader, which is usually a power of two.
 constexpr std::size_t PatternBytes = 65'521;
 constexpr unsigned PatternSeed = 7;
 
@@ -38,7 +38,7 @@
     return pattern;
 }
 
-RangeAnswer lastBytes(std::uint64_t count, std::uint64_t size)
+RangeSelection suffixRange(std::uint64_t count, std::uint64_t size)
 {
     if (count == 0 || size == 0) {
         return { RangeKind::Unsatisfiable, {} };
@@ -46,7 +46,7 @@
     return { RangeKind::Part, { size - std::min(count, size), size } };
 }
 
-RangeAnswer between(std::uint64_t first, std::optional<std::uint64_t> last, std::uint64_t size)
+RangeSelection boundedRange(std::uint64_t first, std::optional<std::uint64_t> last, std::uint64_t size)
 {
     if (first >= size) {
         return { RangeKind::Unsatisfiable, {} };
@@ -68,15 +68,15 @@
     return parseNumber(path.substr(DownloadPrefix.size()));
 }
 
-std::string downloadTag(std::uint64_t size)
+std::string downloadETag(std::uint64_t size)
 {
     return "\"" + std::to_string(size) + "-" + std::to_string(PatternSeed) + "\"";
 }
 
-RangeAnswer chooseRange(std::string_view range, std::string_view ifRange, std::uint64_t size)
+RangeSelection selectRange(std::string_view range, std::string_view ifRange, std::uint64_t size)
 {
-    const RangeAnswer whole { RangeKind::Whole, { 0, size } };
-    if (!range.starts_with(BytesUnit) || (!ifRange.empty() && ifRange != downloadTag(size))) {
+    const RangeSelection whole { RangeKind::Whole, { 0, size } };
+    if (!range.starts_with(BytesUnit) || (!ifRange.empty() && ifRange != downloadETag(size))) {
         return whole;
     }
     range.remove_prefix(BytesUnit.size());
@@ -91,21 +91,21 @@
         return whole;
     }
     if (dash == 0) {
-        return last ? lastBytes(*last, size) : whole;
+        return last ? suffixRange(*last, size) : whole;
     }
     if (!first) {
         return whole;
     }
-    const RangeAnswer answer = between(*first, last, size);
-    return answer.kind == RangeKind::Whole ? whole : answer;
+    const RangeSelection selection = boundedRange(*first, last, size);
+    return selection.kind == RangeKind::Whole ? whole : selection;
 }
 
-boost::asio::const_buffer contentAt(std::uint64_t offset, std::uint64_t most)
+boost::asio::const_buffer contentAt(std::uint64_t offset, std::uint64_t maxBytes)
 {
     static const std::vector<unsigned char> Pattern = makePattern();
-    const std::size_t start = offset % PatternBytes;
-    const std::uint64_t count = std::min<std::uint64_t>(most, PatternBytes - start);
-    return { Pattern.data() + start, static_cast<std::size_t>(count) };
+    const std::size_t startIndex = offset % PatternBytes;
+    const std::uint64_t count = std::min<std::uint64_t>(maxBytes, PatternBytes - startIndex);
+    return { Pattern.data() + startIndex, static_cast<std::size_t>(count) };
 }
 
 } // namespace standin
--- a/standin/download.h
+++ b/standin/download.h
@@ -10,36 +10,36 @@
 namespace standin
 {
 
-// A part of a body, from `first` up to but without `end`.
+// A half-open range [first, end) of the bytes of a body.
 struct ByteRange {
     std::uint64_t first = 0;
     std::uint64_t end = 0;
 };
 
-// What a download request asked for.
+// The kind of response that the Range header of a download selects.
 enum class RangeKind {
-    Whole, // no range, one that isn't understood, or an If-Range that doesn't match
+    Whole, // no Range, an unsupported one, or an If-Range that doesn't match
     Part,
     Unsatisfiable,
 };
 
-struct RangeAnswer {
+struct RangeSelection {
     RangeKind kind = RangeKind::Whole;
     ByteRange bytes;
 };
 
-// Returns the size that a path /download/NBYTES names, or nothing for any other path.
+// Returns the size in a path /download/NBYTES, or nothing for any other path.
 std::optional<std::uint64_t> downloadSize(std::string_view path);
 
-// Returns the strong validator of the download of that size: equal on every target, as the bytes are.
-std::string downloadTag(std::uint64_t size);
+// Returns the strong ETag of the download of `size` bytes. It is the same on all targets, as the content is.
+std::string downloadETag(std::uint64_t size);
 
-// Decides what to send of a body of `size` bytes for the headers Range and If-Range; empty when absent. One range of
-// the forms a-b, a- and -n is understood.
-RangeAnswer chooseRange(std::string_view range, std::string_view ifRange, std::uint64_t size);
+// Selects the part of a body of `size` bytes for the values of the headers Range and If-Range, which are empty when
+// absent. Supports a single range of the forms a-b, a- and -n.
+RangeSelection selectRange(std::string_view range, std::string_view ifRange, std::uint64_t size);
 
-// Returns bytes of the downloads' content from `offset` on: at least one and at most `most`. They depend on the
-// offset alone and stay valid for the life of the process.
-boost::asio::const_buffer contentAt(std::uint64_t offset, std::uint64_t most);
+// Returns between one and `maxBytes` bytes of the content of downloads, starting at `offset`. The bytes depend only on
+// the offset. The buffer stays valid for the lifetime of the process.
+boost::asio::const_buffer contentAt(std::uint64_t offset, std::uint64_t maxBytes);
 
 } // namespace standin
--- a/standin/httpserver.cpp
+++ b/standin/httpserver.cpp
@@ -15,15 +15,15 @@
 
 using asio::ip::tcp;
 
-std::string_view pathOf(std::string_view target)
+std::string_view requestPath(std::string_view target)
 {
     return target.substr(0, target.find('?'));
 }
 
-std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t otherwise)
+std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t defaultValue)
 {
-    const auto mark = target.find('?');
-    std::string_view query = mark == std::string_view::npos ? std::string_view {} : target.substr(mark + 1);
+    const auto queryStart = target.find('?');
+    std::string_view query = queryStart == std::string_view::npos ? std::string_view {} : target.substr(queryStart + 1);
     while (!query.empty()) {
         const std::string_view pair = query.substr(0, query.find('&'));
         query.remove_prefix(std::min(query.size(), pair.size() + 1));
@@ -35,9 +35,9 @@
         std::uint64_t number = 0;
         const auto end = text.data() + text.size();
         const auto parsed = std::from_chars(text.data(), end, number);
-        return parsed.ec == std::errc {} && parsed.ptr == end ? number : otherwise;
+        return parsed.ec == std::errc {} && parsed.ptr == end ? number : defaultValue;
     }
-    return otherwise;
+    return defaultValue;
 }
 
 Response jsonResponse(http::status status, const boost::json::value &body)
@@ -65,7 +65,7 @@
 
 asio::awaitable<bool> Connection::send(Response response)
 {
-    if (m_silent) {
+    if (m_unresponsive) {
         co_await discardUntilClosed();
         co_return false;
     }
@@ -81,7 +81,7 @@
 
 asio::awaitable<bool> Connection::sendRaw(asio::const_buffer bytes)
 {
-    if (m_silent) {
+    if (m_unresponsive) {
         co_await discardUntilClosed();
         co_return false;
     }
@@ -97,8 +97,9 @@
 asio::awaitable<bool> Connection::waitFor(asio::steady_timer &timer)
 {
     using namespace asio::experimental::awaitable_operators;
-    // A silent connection stands for a path that lost its packets, so a close by the other end isn't seen either.
-    if (m_silent) {
+    // An unresponsive connection simulates a network path that drops all packets, so a close by the peer isn't
+    // detected either.
+    if (m_unresponsive) {
         co_await timer.async_wait(Awaitable);
         co_return true;
     }
@@ -106,15 +107,15 @@
     if (first.index() == 0) {
         co_return true;
     }
-    if (otherEndClosed()) {
+    if (closedByPeer()) {
         co_return false;
     }
-    // The other end sent its next request early; only the timer is left to wait for.
+    // The peer pipelined its next request, so the socket stays readable; wait for the timer only.
     co_await timer.async_wait(Awaitable);
     co_return m_socket.is_open();
 }
 
-asio::awaitable<bool> Connection::pause(Duration duration)
+asio::awaitable<bool> Connection::sleep(Duration duration)
 {
     if (duration <= Duration::zero()) {
         co_return true;
@@ -123,7 +124,7 @@
     co_return co_await waitFor(timer);
 }
 
-asio::awaitable<void> Connection::hang()
+asio::awaitable<void> Connection::waitUntilClosed()
 {
     co_await discardUntilClosed();
 }
@@ -156,7 +157,7 @@
     m_mustClose = true;
 }
 
-bool Connection::otherEndClosed()
+bool Connection::closedByPeer()
 {
     if (!m_socket.is_open()) {
         return true;
@@ -196,10 +197,10 @@
     }
 }
 
-void HttpServer::silenceOpenConnections(const Connection &except)
+void HttpServer::makeOpenConnectionsUnresponsive(const Connection &except)
 {
     for (Connection &connection : m_connections) {
-        connection.m_silent = connection.m_silent || &connection != &except;
+        connection.m_unresponsive = connection.m_unresponsive || &connection != &except;
     }
 }
 
@@ -208,7 +209,7 @@
     m_refuse = refuse;
 }
 
-void HttpServer::limitBody(std::size_t maxBody)
+void HttpServer::setMaxBodySize(std::size_t maxBody)
 {
     m_maxBody = maxBody;
 }
@@ -237,15 +238,15 @@
         co_return;
     }
     while (!connection.m_mustClose && co_await connection.receive(m_maxBody)) {
-        if (connection.m_silent) {
+        if (connection.m_unresponsive) {
             co_await connection.discardUntilClosed();
             co_return;
         }
-        const After after = co_await m_handler(connection);
-        if (after == After::Reset) {
+        const ConnectionAction action = co_await m_handler(connection);
+        if (action == ConnectionAction::Reset) {
             connection.reset();
         }
-        if (after != After::KeepOpen) {
+        if (action != ConnectionAction::KeepOpen) {
             co_return;
         }
         connection.m_mustClose = connection.m_mustClose || !connection.m_request.keep_alive();
--- a/standin/httpserver.h
+++ b/standin/httpserver.h
@@ -29,26 +29,26 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-// What happens to a connection once a request was dealt with.
-enum class After : std::uint8_t {
-    KeepOpen, // the next request may follow, unless an answer said otherwise
-    Close, // end it in order
-    Reset, // end it by a TCP reset
+// What the server does with a connection when a request has been handled.
+enum class ConnectionAction : std::uint8_t {
+    KeepOpen, // read the next request, unless a response closed the connection
+    Close, // shut it down gracefully
+    Reset, // abort it by a TCP reset
 };
 
-// Returns the first of `target` up to its query.
-std::string_view pathOf(std::string_view target);
+// Returns the path of the request target `target`, without its query.
+std::string_view requestPath(std::string_view target);
 
-// Returns the number that `target`'s query gives for `key`, or `otherwise` when there is none or it is no number.
-std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t otherwise);
+// Returns the numeric value of `key` in the query of `target`, or `defaultValue` when it is missing or not a number.
+std::uint64_t queryNumber(std::string_view target, std::string_view key, std::uint64_t defaultValue);
 
-// Returns an answer with a JSON body.
+// Returns a response with a JSON body.
 Response jsonResponse(http::status status, const boost::json::value &body);
 
-// Returns an answer {"error": message}.
+// Returns a response with the JSON body {"error": message}.
 Response errorResponse(http::status status, std::string_view message);
 
-// One open connection of a server, with the request that is being dealt with. Used by the server's thread alone.
+// An open connection of a server, with the request that is being handled. Must be used by the server's thread only.
 class Connection
 {
 public:
@@ -56,69 +56,71 @@
     Connection(const Connection &) = delete;
     Connection &operator=(const Connection &) = delete;
 
-    // Returns the request that was read last.
+    // Returns the request that was received last.
     const Request &request() const;
 
-    // Sends a whole answer. Returns false when the connection failed before all of it was handed to the system.
+    // Sends a complete response. Returns false when the connection failed before all of it was passed to the operating
+    // system.
     asio::awaitable<bool> send(Response response);
 
-    // Sends bytes as they are, for answers in pieces. Returns false when the connection failed.
+    // Sends raw bytes, for responses that are sent in chunks. Returns false when the connection failed.
     asio::awaitable<bool> sendRaw(asio::const_buffer bytes);
 
-    // Waits until `timer` fires or is cancelled. Returns false when the other end closed the connection first.
+    // Waits until `timer` expires or is cancelled. Returns false when the peer closed the connection first.
     asio::awaitable<bool> waitFor(asio::steady_timer &timer);
 
-    // Waits for `duration`; at once for none. Returns false when the other end closed the connection first.
-    asio::awaitable<bool> pause(Duration duration);
+    // Waits for `duration`; returns at once when it is zero. Returns false when the peer closed the connection first.
+    asio::awaitable<bool> sleep(Duration duration);
 
-    // Waits until the other end closes the connection.
-    asio::awaitable<void> hang();
+    // Reads and discards data until the peer closes the connection.
+    asio::awaitable<void> waitUntilClosed();
 
 private:
     friend class HttpServer;
 
     asio::awaitable<bool> receive(std::size_t maxBody);
     asio::awaitable<void> discardUntilClosed();
-    bool otherEndClosed();
+    bool closedByPeer();
     void reset();
 
     asio::ip::tcp::socket m_socket;
     beast::flat_buffer m_buffer;
     Request m_request;
     bool m_mustClose = false;
-    bool m_silent = false;
+    bool m_unresponsive = false;
 
 public:
     boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> hook;
 };
 
-// An HTTP/1.1 server on one address whose connections are all dealt with by one io_context, run by one thread.
-// To end it, call stop() on that thread and run the io_context until it has nothing left to do; only then destroy it.
+// An HTTP/1.1 server on one address. All its connections are handled by one io_context, which is run by one thread.
+// To shut it down, call stop() on that thread and run the io_context until it has no work left. The server must not be
+// destroyed earlier.
 class HttpServer
 {
 public:
-    using Handler = std::function<asio::awaitable<After>(Connection &)>;
+    using Handler = std::function<asio::awaitable<ConnectionAction>(Connection &)>;
 
-    // Binds the address; port 0 lets the system choose. Throws boost::system::system_error when it can't be bound.
+    // Binds the address; the system chooses the port for port 0. Throws boost::system::system_error when binding fails.
     HttpServer(asio::io_context &context, const std::string &address, std::uint16_t port, Handler handler);
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    // Returns the port that was bound.
+    // Returns the bound port.
     std::uint16_t port() const;
 
     // Stops accepting and closes all connections.
     void stop();
 
-    // Makes all connections that are open now, other than `except`, go silent for good: nothing is answered on them any
-    // more.
-    void silenceOpenConnections(const Connection &except);
+    // Makes all open connections except `except` permanently unresponsive: no further response is sent on them. New
+    // connections are not affected.
+    void makeOpenConnectionsUnresponsive(const Connection &except);
 
-    // While true, each new connection is closed as soon as it was accepted.
+    // While true, each new connection is closed immediately when it has been accepted.
     void refuseAfterAccept(bool refuse);
 
-    // Sets the largest request body in bytes; 1 MiB unless set.
-    void limitBody(std::size_t maxBody);
+    // Sets the maximum size of a request body in bytes. The default is 1 MiB.
+    void setMaxBodySize(std::size_t maxBody);
 
 private:
     using Connections =
--- a/standin/switches.cpp
+++ b/standin/jsonobjectreader.cpp
@@ -1,4 +1,4 @@
-#include "switches.h"
+#include "jsonobjectreader.h"
 
 #include <stdexcept>
 
@@ -7,17 +7,17 @@
 namespace standin
 {
 
-Switches::Switches(const std::string &text)
+JsonObjectReader::JsonObjectReader(const std::string &text)
 {
     boost::system::error_code error;
     const boost::json::value parsed = boost::json::parse(text, error);
     if (error || !parsed.is_object()) {
-        throw std::invalid_argument("a JSON object is needed");
+        throw std::invalid_argument("expected a JSON object");
     }
     m_object = parsed.as_object();
 }
 
-void Switches::take(std::string_view name, bool &value)
+void JsonObjectReader::extract(std::string_view name, bool &value)
 {
     const boost::json::value *found = find(name);
     if (!found) {
@@ -30,12 +30,12 @@
     m_object.erase(name);
 }
 
-void Switches::take(std::string_view name, double &value)
+void JsonObjectReader::extract(std::string_view name, double &value)
 {
-    value = takeNumber(name).value_or(value);
+    value = extractNumber(name).value_or(value);
 }
 
-void Switches::take(std::string_view name, std::string &value)
+void JsonObjectReader::extract(std::string_view name, std::string &value)
 {
     const boost::json::value *found = find(name);
     if (!found) {
@@ -48,7 +48,7 @@
     m_object.erase(name);
 }
 
-std::optional<double> Switches::takeNumber(std::string_view name)
+std::optional<double> JsonObjectReader::extractNumber(std::string_view name)
 {
     const boost::json::value *found = find(name);
     if (!found) {
@@ -62,14 +62,14 @@
     return number;
 }
 
-void Switches::finish() const
+void JsonObjectReader::rejectUnknown() const
 {
     if (!m_object.empty()) {
-        throw std::invalid_argument("unknown switch: " + std::string(m_object.begin()->key()));
+        throw std::invalid_argument("unknown field: " + std::string(m_object.begin()->key()));
     }
 }
 
-const boost::json::value *Switches::find(std::string_view name) const
+const boost::json::value *JsonObjectReader::find(std::string_view name) const
 {
     return m_object.if_contains(name);
 }
--- a/standin/loadgenerator.cpp
+++ b/standin/loadgenerator.cpp
@@ -20,16 +20,16 @@
 {
 
 constexpr const char *NumberPlaceholder = "{n}";
-constexpr std::uint64_t MaxAnswerBody = std::uint64_t { 1 } << 30;
-// A connection that can't be made is tried again after a pause, so that a closed port isn't hammered.
-constexpr auto ReconnectPause = std::chrono::milliseconds(20);
+constexpr std::uint64_t MaxResponseBody = std::uint64_t { 1 } << 30;
+// Delay between attempts to connect, which keeps a closed port from being flooded with attempts.
+constexpr auto ReconnectDelay = std::chrono::milliseconds(20);
 
 Duration fromMillis(double millis)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(millis));
 }
 
-std::string withNumber(std::string text, std::uint64_t number)
+std::string replacePlaceholder(std::string text, std::uint64_t number)
 {
     const auto at = text.find(NumberPlaceholder);
     if (at != std::string::npos) {
@@ -49,7 +49,7 @@
 
     asio::io_context &context;
     asio::ip::tcp::endpoint endpoint;
-    std::optional<beast::tcp_stream> stream; // none while not connected
+    std::optional<beast::tcp_stream> stream; // empty while not connected
     beast::flat_buffer buffer;
     LoadReport report;
 };
@@ -126,7 +126,7 @@
     for (std::size_t i = 0; i < m_settings.connections; ++i) {
         asio::io_context &context = *contexts[i % contexts.size()];
         clients.push_back(std::make_unique<Client>(context, m_settings.targets[i % m_settings.targets.size()]));
-        asio::co_spawn(context, drive(*clients.back()), asio::detached);
+        asio::co_spawn(context, runClient(*clients.back()), asio::detached);
     }
     std::vector<std::thread> threads;
     for (const auto &context : contexts) {
@@ -146,24 +146,24 @@
     return report;
 }
 
-asio::awaitable<void> LoadGenerator::drive(Client &client)
+asio::awaitable<void> LoadGenerator::runClient(Client &client)
 {
     asio::steady_timer timer(client.context);
     while (std::chrono::steady_clock::now() < m_end) {
-        const std::uint64_t number = m_next.fetch_add(1);
+        const std::uint64_t number = m_nextNumber.fetch_add(1);
         if (number >= m_settings.requests) {
             break;
         }
-        Instant intended = std::chrono::steady_clock::now();
+        Instant scheduledAt = std::chrono::steady_clock::now();
         if (m_settings.rate > 0) {
-            intended = m_begin + fromMillis(static_cast<double>(number) * 1000 / m_settings.rate);
-            if (intended >= m_end) {
+            scheduledAt = m_begin + fromMillis(static_cast<double>(number) * 1000 / m_settings.rate);
+            if (scheduledAt >= m_end) {
                 break;
             }
-            timer.expires_at(intended);
+            timer.expires_at(scheduledAt);
             co_await timer.async_wait(Awaitable);
         }
-        co_await exchange(client, number, intended);
+        co_await sendRequest(client, number, scheduledAt);
     }
     client.stream.reset();
 }
@@ -183,22 +183,22 @@
     }
     client.stream.reset();
     ++client.report.connectFailures;
-    asio::steady_timer pause(client.context, ReconnectPause);
-    co_await pause.async_wait(Awaitable);
+    asio::steady_timer timer(client.context, ReconnectDelay);
+    co_await timer.async_wait(Awaitable);
     co_return false;
 }
 
-asio::awaitable<void> LoadGenerator::exchange(Client &client, std::uint64_t number, Instant intended)
+asio::awaitable<void> LoadGenerator::sendRequest(Client &client, std::uint64_t number, Instant scheduledAt)
 {
     if (!co_await connect(client)) {
         co_return;
     }
-    const Request request = requestFor(client, number);
+    const Request request = makeRequest(client, number);
     client.stream->expires_after(fromMillis(m_settings.timeoutMs));
     ++client.report.sent;
     auto [error, count] = co_await http::async_write(*client.stream, request, Awaitable);
     http::response_parser<http::string_body> parser;
-    parser.body_limit(MaxAnswerBody);
+    parser.body_limit(MaxResponseBody);
     parser.skip(request.method() == http::verb::head);
     if (!error) {
         std::tie(error, count) = co_await http::async_read(*client.stream, client.buffer, parser, Awaitable);
@@ -208,13 +208,13 @@
         client.stream.reset();
         co_return;
     }
-    const std::chrono::duration<double, std::milli> latency = std::chrono::steady_clock::now() - intended;
+    const std::chrono::duration<double, std::milli> latency = std::chrono::steady_clock::now() - scheduledAt;
     const Response &response = parser.get();
     ++client.report.answered;
     ++client.report.statuses[response.result_int()];
     client.report.bodyBytes += response.body().size();
     client.report.latenciesMs.push_back(latency.count());
-    const std::string expected = withNumber(m_settings.expected, number);
+    const std::string expected = replacePlaceholder(m_settings.expected, number);
     if (response.result() == http::status::ok && response.body().find(expected) == std::string::npos) {
         ++client.report.mismatched;
     }
@@ -223,17 +223,17 @@
     }
 }
 
-Request LoadGenerator::requestFor(const Client &client, std::uint64_t number) const
+Request LoadGenerator::makeRequest(const Client &client, std::uint64_t number) const
 {
     Request request;
     request.version(11);
     request.method_string(m_settings.method);
-    request.target(withNumber(m_settings.path, number));
+    request.target(replacePlaceholder(m_settings.path, number));
     request.set(http::field::host, client.endpoint.address().to_string());
     for (const auto &[name, value] : m_settings.headers) {
-        request.set(name, withNumber(value, number));
+        request.set(name, replacePlaceholder(value, number));
     }
-    request.body() = withNumber(m_settings.body, number);
+    request.body() = replacePlaceholder(m_settings.body, number);
     request.prepare_payload();
     return request;
 }
--- a/standin/logservice.cpp
+++ b/standin/logservice.cpp
@@ -6,7 +6,7 @@
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
 
-#include "switches.h"
+#include "jsonobjectreader.h"
 
 namespace standin
 {
@@ -20,7 +20,7 @@
 constexpr std::uint64_t MaxPageRecords = 100'000;
 constexpr std::uint64_t MaxWaitMillis = 60'000;
 
-std::string streamOf(std::string_view path)
+std::string streamName(std::string_view path)
 {
     if (!path.starts_with(StreamsPrefix) || !path.ends_with(RecordsSuffix)) {
         return {};
@@ -58,7 +58,7 @@
     , m_clock(std::move(clock))
     , m_store(m_settings.retention)
     , m_tokens(m_settings.appendsPerSecond)
-    , m_tokensAt(m_clock())
+    , m_tokensUpdatedAt(m_clock())
     , m_server(context, m_settings.address, m_settings.port, [this](Connection &connection) {
         return handle(connection);
     })
@@ -72,7 +72,7 @@
 
 std::size_t LogService::waitingReaders() const
 {
-    return m_waiting.size();
+    return m_waitingReads.size();
 }
 
 void LogService::stop()
@@ -81,23 +81,23 @@
     wakeReaders();
 }
 
-asio::awaitable<After> LogService::handle(Connection &connection)
+asio::awaitable<ConnectionAction> LogService::handle(Connection &connection)
 {
     const Request &request = connection.request();
-    const std::string_view path = pathOf(request.target());
+    const std::string_view path = requestPath(request.target());
     if (path == "/-/faults") {
         co_return co_await faults(connection);
     }
-    if (!co_await connection.pause(m_faults.slow)) {
-        co_return After::Close;
+    if (!co_await connection.sleep(m_faults.delay)) {
+        co_return ConnectionAction::Close;
     }
     if (m_faults.outage) {
         co_return co_await unavailable(connection);
     }
-    const std::string stream = streamOf(path);
+    const std::string stream = streamName(path);
     if (stream.empty()) {
         co_await connection.send(errorResponse(http::status::not_found, "no such path"));
-        co_return After::KeepOpen;
+        co_return ConnectionAction::KeepOpen;
     }
     if (request.method() == http::verb::post) {
         co_return co_await append(connection, stream);
@@ -105,7 +105,7 @@
     co_return co_await read(connection, stream);
 }
 
-asio::awaitable<After> LogService::append(Connection &connection, const std::string &stream)
+asio::awaitable<ConnectionAction> LogService::append(Connection &connection, const std::string &stream)
 {
     if (!admitAppend()) {
         co_return co_await unavailable(connection);
@@ -116,91 +116,91 @@
     }
     const std::uint64_t offset = m_store.append(stream, std::move(data), m_clock());
     wakeReaders();
-    if (m_faults.loseAnswers) {
-        co_return After::Close;
+    if (m_faults.loseResponses) {
+        co_return ConnectionAction::Close;
     }
     co_await connection.send(offsetResponse(offset));
-    co_return After::KeepOpen;
+    co_return ConnectionAction::KeepOpen;
 }
 
-asio::awaitable<After> LogService::read(Connection &connection, const std::string &stream)
+asio::awaitable<ConnectionAction> LogService::read(Connection &connection, const std::string &stream)
 {
     const std::string target(connection.request().target());
     const std::uint64_t from = queryNumber(target, "from", 0);
     const std::uint64_t max = std::min(queryNumber(target, "max", DefaultPageRecords), MaxPageRecords);
     const std::uint64_t wait = std::min(queryNumber(target, "wait_ms", 0), MaxWaitMillis);
-    const Instant until = std::chrono::steady_clock::now() + std::chrono::milliseconds(wait);
+    const Instant deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(wait);
     LogPage page = m_store.read(stream, from, max, m_clock());
-    while (page.records.empty() && from >= page.next && std::chrono::steady_clock::now() < until) {
-        if (!co_await waitForRecord(connection, until)) {
-            co_return After::Close;
+    while (page.records.empty() && from >= page.next && std::chrono::steady_clock::now() < deadline) {
+        if (!co_await waitForRecord(connection, deadline)) {
+            co_return ConnectionAction::Close;
         }
         if (m_faults.outage) {
             co_return co_await unavailable(connection);
         }
         page = m_store.read(stream, from, max, m_clock());
         if (page.next < from) {
-            // The log went back behind the reader; tell it now rather than when its wait ends.
+            // The log went back to an offset before the reader's. Respond at once instead of at the end of the wait.
             break;
         }
     }
     co_await connection.send(pageResponse(page));
-    co_return After::KeepOpen;
+    co_return ConnectionAction::KeepOpen;
 }
 
-asio::awaitable<bool> LogService::waitForRecord(Connection &connection, Instant until)
+asio::awaitable<bool> LogService::waitForRecord(Connection &connection, Instant deadline)
 {
-    asio::steady_timer limit(m_context, until);
-    m_waiting.push_back(&limit);
-    const bool open = co_await connection.waitFor(limit);
-    std::erase(m_waiting, &limit);
+    asio::steady_timer timer(m_context, deadline);
+    m_waitingReads.push_back(&timer);
+    const bool open = co_await connection.waitFor(timer);
+    std::erase(m_waitingReads, &timer);
     co_return open;
 }
 
-asio::awaitable<After> LogService::unavailable(Connection &connection)
+asio::awaitable<ConnectionAction> LogService::unavailable(Connection &connection)
 {
     co_await connection.send(errorResponse(http::status::service_unavailable, "unavailable"));
-    co_return After::KeepOpen;
+    co_return ConnectionAction::KeepOpen;
 }
 
-asio::awaitable<After> LogService::faults(Connection &connection)
+asio::awaitable<ConnectionAction> LogService::faults(Connection &connection)
 {
-    co_await connection.send(answerFaults(connection.request()));
-    co_return After::KeepOpen;
+    co_await connection.send(handleFaults(connection.request()));
+    co_return ConnectionAction::KeepOpen;
 }
 
-Response LogService::answerFaults(const Request &request)
+Response LogService::handleFaults(const Request &request)
 {
     try {
         if (request.method() == http::verb::post) {
-            switchFaults(request.body());
+            updateFaults(request.body());
         }
     } catch (const std::invalid_argument &refusal) {
         return errorResponse(http::status::bad_request, refusal.what());
     }
     return jsonResponse(http::status::ok,
                         boost::json::object { { "outage", m_faults.outage },
-                                              { "slow_ms", m_faults.slow.count() },
-                                              { "lose_answers", m_faults.loseAnswers },
+                                              { "slow_ms", m_faults.delay.count() },
+                                              { "lose_answers", m_faults.loseResponses },
                                               { "corrupt_next", m_faults.corruptNext } });
 }
 
-void LogService::switchFaults(const std::string &body)
+void LogService::updateFaults(const std::string &body)
 {
-    Switches switches(body);
+    JsonObjectReader reader(body);
     LogFaults faults = m_faults;
     bool recreate = false;
-    switches.take("outage", faults.outage);
-    switches.take("lose_answers", faults.loseAnswers);
-    switches.take("corrupt_next", faults.corruptNext);
-    switches.take("recreate", recreate);
-    if (const auto slow = switches.takeNumber("slow_ms")) {
-        faults.slow = std::chrono::milliseconds(static_cast<std::int64_t>(*slow));
-    }
-    const auto lost = switches.takeNumber("lose_tail");
-    switches.finish();
+    reader.extract("outage", faults.outage);
+    reader.extract("lose_answers", faults.loseResponses);
+    reader.extract("corrupt_next", faults.corruptNext);
+    reader.extract("recreate", recreate);
+    if (const auto delay = reader.extractNumber("slow_ms")) {
+        faults.delay = std::chrono::milliseconds(static_cast<std::int64_t>(*delay));
+    }
+    const auto lostRecords = reader.extractNumber("lose_tail");
+    reader.rejectUnknown();
     m_faults = faults;
-    m_store.loseTail(static_cast<std::size_t>(lost.value_or(0)));
+    m_store.loseTail(static_cast<std::size_t>(lostRecords.value_or(0)));
     if (recreate) {
         m_store.recreate();
     }
@@ -213,8 +213,8 @@
         return true;
     }
     const Instant now = m_clock();
-    const double passed = std::chrono::duration<double>(now - m_tokensAt).count();
-    m_tokensAt = now;
+    const double passed = std::chrono::duration<double>(now - m_tokensUpdatedAt).count();
+    m_tokensUpdatedAt = now;
     m_tokens = std::min(m_settings.appendsPerSecond, m_tokens + passed * m_settings.appendsPerSecond);
     if (m_tokens < 1) {
         return false;
@@ -225,8 +225,8 @@
 
 void LogService::wakeReaders()
 {
-    for (asio::steady_timer *limit : m_waiting) {
-        limit->cancel();
+    for (asio::steady_timer *timer : m_waitingReads) {
+        timer->cancel();
     }
 }
 
--- a/standin/logservice.h
+++ b/standin/logservice.h
@@ -8,22 +8,22 @@
 namespace standin
 {
 
-// The faults of the log service that can be switched while it runs.
+// The faults of the log service, which can be changed over HTTP while it runs.
 struct LogFaults {
-    bool outage = false; // everything but the switches answers 503
-    std::chrono::milliseconds slow { 0 }; // before each answer
-    bool loseAnswers = false; // an append takes effect, then the connection closes without an answer
-    bool corruptNext = false; // the next record is stored cut in half
+    bool outage = false; // all requests except those for faults get 503
+    std::chrono::milliseconds delay { 0 }; // before each response
+    bool loseResponses = false; // an append takes effect, then the connection closes without a response
+    bool corruptNext = false; // the next record is truncated to half its size
 };
 
 struct LogServiceSettings {
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
     Retention retention;
-    double appendsPerSecond = 0; // 0: unlimited; beyond it 503
+    double appendsPerSecond = 0; // appends above this rate get 503; 0: unlimited
 };
 
-// The log service of the platform over HTTP, as docs/PLATFORM.md describes it.
+// The platform's log service over HTTP, as described in docs/PLATFORM.md.
 class LogService
 {
 public:
@@ -31,24 +31,24 @@
     LogService(const LogService &) = delete;
     LogService &operator=(const LogService &) = delete;
 
-    // Returns the port that was bound.
+    // Returns the bound port.
     std::uint16_t port() const;
 
-    // Returns how many reads wait for a record.
+    // Returns the number of reads that wait for a record.
     std::size_t waitingReaders() const;
 
-    // Ends the service; see HttpServer.
+    // Stops the service; see HttpServer.
     void stop();
 
 private:
-    asio::awaitable<After> handle(Connection &connection);
-    asio::awaitable<After> append(Connection &connection, const std::string &stream);
-    asio::awaitable<After> read(Connection &connection, const std::string &stream);
-    asio::awaitable<After> faults(Connection &connection);
-    asio::awaitable<After> unavailable(Connection &connection);
-    asio::awaitable<bool> waitForRecord(Connection &connection, Instant until);
-    Response answerFaults(const Request &request);
-    void switchFaults(const std::string &body);
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    asio::awaitable<ConnectionAction> append(Connection &connection, const std::string &stream);
+    asio::awaitable<ConnectionAction> read(Connection &connection, const std::string &stream);
+    asio::awaitable<ConnectionAction> faults(Connection &connection);
+    asio::awaitable<ConnectionAction> unavailable(Connection &connection);
+    asio::awaitable<bool> waitForRecord(Connection &connection, Instant deadline);
+    Response handleFaults(const Request &request);
+    void updateFaults(const std::string &body);
     bool admitAppend();
     void wakeReaders();
 
@@ -57,9 +57,9 @@
     Clock m_clock;
     LogStore m_store;
     LogFaults m_faults;
-    std::vector<asio::steady_timer *> m_waiting; // of readers for which there is no record yet
+    std::vector<asio::steady_timer *> m_waitingReads; // timers of the reads that wait for a record
     double m_tokens = 0;
-    Instant m_tokensAt;
+    Instant m_tokensUpdatedAt;
     HttpServer m_server;
 };
 
--- a/standin/logstore.cpp
+++ b/standin/logstore.cpp
@@ -19,10 +19,10 @@
 
 std::uint64_t LogStore::append(const std::string &stream, std::string data, Instant now)
 {
-    Stream &kept = m_streams[stream];
-    kept.records.push_back({ std::move(data), now });
-    const std::uint64_t offset = kept.first + kept.records.size() - 1;
-    expire(kept, now);
+    Stream &storedStream = m_streams[stream];
+    storedStream.records.push_back({ std::move(data), now });
+    const std::uint64_t offset = storedStream.first + storedStream.records.size() - 1;
+    expire(storedStream, now);
     return offset;
 }
 
@@ -33,13 +33,13 @@
     if (found == m_streams.end()) {
         return page;
     }
-    Stream &kept = found->second;
-    expire(kept, now);
-    page.first = kept.first;
-    page.next = kept.first + kept.records.size();
+    Stream &storedStream = found->second;
+    expire(storedStream, now);
+    page.first = storedStream.first;
+    page.next = storedStream.first + storedStream.records.size();
     std::size_t bytes = 0;
     for (std::uint64_t offset = std::max(from, page.first); offset < page.next; ++offset) {
-        const std::string &data = kept.records[offset - page.first].data;
+        const std::string &data = storedStream.records[offset - page.first].data;
         bytes += data.size();
         if (page.records.size() >= max || (bytes > MaxPageBytes && !page.records.empty())) {
             break;
@@ -64,10 +64,11 @@
 
 void LogStore::expire(Stream &stream, Instant now) const
 {
-    const auto tooOld = [this, now](const Kept &record) {
+    const auto isExpired = [this, now](const StoredRecord &record) {
         return now - record.at > m_retention.age;
     };
-    while (!stream.records.empty() && (stream.records.size() > m_retention.records || tooOld(stream.records.front()))) {
+    while (!stream.records.empty()
+           && (stream.records.size() > m_retention.records || isExpired(stream.records.front()))) {
         stream.records.pop_front();
         ++stream.first;
     }
--- a/standin/logstore.h
+++ b/standin/logstore.h
@@ -11,26 +11,26 @@
 namespace standin
 {
 
-// How long records are kept. A record goes as soon as either limit is passed.
+// Retention limits of a stream. A record is dropped when either limit is exceeded.
 struct Retention {
-    std::size_t records = 1'000'000; // per stream
+    std::size_t records = 1'000'000; // maximum per stream
     std::chrono::seconds age { 7 * 24 * 3600 };
 };
 
-// One record with its place in the stream.
+// A record with its offset in the stream.
 struct LogRecord {
     std::uint64_t offset = 0;
     std::string data;
 };
 
-// What a read returns: the oldest offset kept, the offset of the next append, and the records in order.
+// The result of a read: the oldest retained offset, the offset of the next append, and the records by offset.
 struct LogPage {
     std::uint64_t first = 0;
     std::uint64_t next = 0;
     std::vector<LogRecord> records;
 };
 
-// The streams of the log service, without any I/O. Offsets of a stream grow by one for each record.
+// The streams of the log service, held in memory. Offsets of a stream are consecutive. Thread-compatible.
 class LogStore
 {
 public:
@@ -38,26 +38,27 @@
     LogStore(const LogStore &) = delete;
     LogStore &operator=(const LogStore &) = delete;
 
-    // Appends a record and returns its offset. A stream comes into being with its first record.
+    // Appends a record and returns its offset. The first record of a stream creates it.
     std::uint64_t append(const std::string &stream, std::string data, Instant now);
 
-    // Returns at most `max` records, and at most 8 MiB beyond the first, from `from` or the oldest kept on.
+    // Returns up to `max` records, starting at `from` or the oldest retained record. All records but the first add up
+    // to 8 MiB at most.
     LogPage read(const std::string &stream, std::uint64_t from, std::size_t max, Instant now);
 
-    // Drops the last `count` records of every stream, so that their offsets are given out again.
+    // Drops the last `count` records of every stream. Their offsets are assigned again.
     void loseTail(std::size_t count);
 
-    // Forgets everything; offsets start from 0 again.
+    // Deletes all streams. Offsets start from 0 again.
     void recreate();
 
 private:
-    struct Kept {
+    struct StoredRecord {
         std::string data;
         Instant at;
     };
     struct Stream {
         std::uint64_t first = 0;
-        std::deque<Kept> records;
+        std::deque<StoredRecord> records;
     };
 
     void expire(Stream &stream, Instant now) const;
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -24,13 +24,13 @@
 
 void printUsage(std::ostream &out)
 {
-    out << "Usage: mulberryplank-standin PROGRAM [FLAGS], PROGRAM --help for its flags\n";
+    out << "Usage: mulberryplank-standin PROGRAM [FLAGS]; PROGRAM --help lists its flags\n";
     for (const Program &program : Programs) {
         out << "  " << program.name << "\t" << program.purpose << "\n";
     }
 }
 
-int runNamed(std::string_view name, int argc, char **argv)
+int runProgram(std::string_view name, int argc, char **argv)
 {
     for (const Program &program : Programs) {
         if (program.name == name) {
@@ -51,7 +51,7 @@
         return 0;
     }
     try {
-        return runNamed(name, argc - 1, argv + 1);
+        return runProgram(name, argc - 1, argv + 1);
     } catch (const standin::UsageError &error) {
         std::cerr << "mulberryplank-standin: " << error.what() << "\n";
         return UsageStatus;
--- a/standin/platformstore.cpp
+++ b/standin/platformstore.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view AppendPath = "/mulberryplank/log-append";
 constexpr std::string_view ReadPath = "/mulberryplank/log-read";
 constexpr std::string_view NewestPath = "/mulberryplank/log-newest";
-constexpr std::uint64_t LongestWaitMillis = 30'000;
+constexpr std::uint64_t MaxWaitMillis = 30'000;
 constexpr std::uint64_t NoCondition = ~std::uint64_t { 0 };
 constexpr std::size_t LengthSize = 4;
 
@@ -81,9 +81,9 @@
     wakeReaders();
 }
 
-std::uint64_t PlatformStore::calls() const
+std::uint64_t PlatformStore::requestCount() const
 {
-    return m_calls;
+    return m_requestCount;
 }
 
 void PlatformStore::put(const std::string &topic, const std::string &key, const std::string &value)
@@ -99,26 +99,26 @@
 
 void PlatformStore::wakeReaders()
 {
-    for (asio::steady_timer *timer : m_waiting) {
+    for (asio::steady_timer *timer : m_waitingReads) {
         timer->cancel();
     }
 }
 
-asio::awaitable<After> PlatformStore::handle(Connection &connection)
+asio::awaitable<ConnectionAction> PlatformStore::handle(Connection &connection)
 {
-    ++m_calls;
+    ++m_requestCount;
     const std::string target(connection.request().target());
-    const std::string_view path = pathOf(target);
-    if (faults.silent) {
-        co_await connection.hang();
-        co_return After::Close;
+    const std::string_view path = requestPath(target);
+    if (faults.unresponsive) {
+        co_await connection.waitUntilClosed();
+        co_return ConnectionAction::Close;
     }
     if (faults.refuse) {
         co_await connection.send(errorResponse(http::status::service_unavailable, "refused"));
-        co_return After::KeepOpen;
+        co_return ConnectionAction::KeepOpen;
     }
     Topic &topic = m_topics[queryText(target, "topic")];
-    Response response = errorResponse(http::status::not_found, "no such call");
+    Response response = errorResponse(http::status::not_found, "no such path");
     if (path == AppendPath) {
         response = append(connection.request(), topic);
     } else if (path == ReadPath) {
@@ -126,31 +126,31 @@
     } else if (path == NewestPath) {
         response = newest(topic);
     }
-    if (path == AppendPath && faults.loseAppends) {
-        co_return After::Reset;
+    if (path == AppendPath && faults.loseAppendResponses) {
+        co_return ConnectionAction::Reset;
     }
-    co_await connection.pause(faults.delay);
-    if (faults.pieceSize > 0) {
-        co_return co_await sendPieces(connection, std::move(response));
+    co_await connection.sleep(faults.delay);
+    if (faults.chunkSize > 0) {
+        co_return co_await sendInChunks(connection, std::move(response));
     }
     co_await connection.send(std::move(response));
-    co_return After::KeepOpen;
+    co_return ConnectionAction::KeepOpen;
 }
 
-asio::awaitable<After> PlatformStore::sendPieces(Connection &connection, Response response) const
+asio::awaitable<ConnectionAction> PlatformStore::sendInChunks(Connection &connection, Response response) const
 {
     response.prepare_payload();
     std::ostringstream text;
     text << response;
     const std::string bytes = text.str();
-    for (std::size_t begin = 0; begin < bytes.size(); begin += faults.pieceSize) {
-        const std::size_t size = std::min(faults.pieceSize, bytes.size() - begin);
-        if (!co_await connection.pause(faults.piecePause)
+    for (std::size_t begin = 0; begin < bytes.size(); begin += faults.chunkSize) {
+        const std::size_t size = std::min(faults.chunkSize, bytes.size() - begin);
+        if (!co_await connection.sleep(faults.chunkDelay)
             || !co_await connection.sendRaw(asio::buffer(bytes.data() + begin, size))) {
-            co_return After::Close;
+            co_return ConnectionAction::Close;
         }
     }
-    co_return After::KeepOpen;
+    co_return ConnectionAction::KeepOpen;
 }
 
 Response PlatformStore::append(const Request &request, Topic &topic)
@@ -186,12 +186,12 @@
 {
     const std::string target(connection.request().target());
     const std::uint64_t from = queryNumber(target, "from", 0);
-    const std::uint64_t wait = std::min(queryNumber(target, "wait-ms", 0), LongestWaitMillis);
+    const std::uint64_t wait = std::min(queryNumber(target, "wait-ms", 0), MaxWaitMillis);
     if (from >= topic.records.size() && wait > 0) {
         asio::steady_timer timer(m_context, std::chrono::milliseconds(wait));
-        m_waiting.push_back(&timer);
+        m_waitingReads.push_back(&timer);
         co_await connection.waitFor(timer);
-        std::erase(m_waiting, &timer);
+        std::erase(m_waitingReads, &timer);
     }
     co_return page(topic, from);
 }
--- a/standin/platformstore.h
+++ b/standin/platformstore.h
@@ -10,20 +10,20 @@
 namespace standin
 {
 
-// Ways in which the store fails, each in force until it is changed.
+// The faults of the store. Each is active until it is changed.
 struct PlatformStoreFaults {
-    bool refuse = false; // every call is answered 503: nothing was done
-    bool silent = false; // no call is answered; appends aren't done
-    bool loseAppends = false; // appends are done and not answered, and their connections end
-    std::chrono::milliseconds delay { 0 }; // before each answer
-    std::size_t pieceSize = 0; // answers are sent in pieces of so many bytes; 0: at once
-    std::chrono::milliseconds piecePause { 0 }; // before each of them
-    std::uint64_t staleBy = 0; // reads of the newest records are so many records behind
+    bool refuse = false; // every request gets 503 and has no effect
+    bool unresponsive = false; // no request gets a response; appends have no effect
+    bool loseAppendResponses = false; // appends take effect, then the connection is reset without a response
+    std::chrono::milliseconds delay { 0 }; // before each response
+    std::size_t chunkSize = 0; // responses are sent in chunks of this many bytes; 0: all at once
+    std::chrono::milliseconds chunkDelay { 0 }; // before each chunk
+    std::uint64_t staleBy = 0; // number of records by which reads of the newest records lag
 };
 
-// The users' metadata store over HTTP, by their published protocol, as far as the product uses it: appends, with the
-// condition of an offset; reads that wait; the newest record of each key; history that is dropped. One partition for
-// each topic, whose names begin with "keyed.". Used by one thread.
+// The users' metadata store over HTTP. Implements the part of its published protocol that the product uses: appends
+// with an optional expected offset, long-polling reads, the newest record of each key, and dropped history. Each topic
+// has one partition, and its name begins with "keyed.". Thread-compatible.
 class PlatformStore
 {
 public:
@@ -31,35 +31,35 @@
     PlatformStore(const PlatformStore &) = delete;
     PlatformStore &operator=(const PlatformStore &) = delete;
 
-    // Returns the port that was bound.
+    // Returns the bound port.
     std::uint16_t port() const;
 
-    // Ends the service; see HttpServer.
+    // Stops the service; see HttpServer.
     void stop();
 
-    // Appends a record as operators and targets do. An empty value removes the key.
+    // Appends a record, like operators and targets do. An empty value removes the key.
     void put(const std::string &topic, const std::string &key, const std::string &value);
 
-    // Forgets all records of a topic but the newest of each key.
+    // Drops the history of a topic. Only the newest record of each key remains readable.
     void dropHistory(const std::string &topic);
 
-    // Returns the calls so far, those that failed included.
-    std::uint64_t calls() const;
+    // Returns the number of requests received, including those that failed.
+    std::uint64_t requestCount() const;
 
     PlatformStoreFaults faults;
 
 private:
     struct Record {
         std::string key;
-        std::string value; // empty: the key was removed
+        std::string value; // empty when the key was removed
     };
     struct Topic {
         std::vector<Record> records;
-        std::uint64_t first = 0; // that is kept
+        std::uint64_t first = 0; // oldest offset that can still be read
     };
 
-    asio::awaitable<After> handle(Connection &connection);
-    asio::awaitable<After> sendPieces(Connection &connection, Response response) const;
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    asio::awaitable<ConnectionAction> sendInChunks(Connection &connection, Response response) const;
     asio::awaitable<Response> read(Connection &connection, Topic &topic);
     static Response page(const Topic &topic, std::uint64_t from);
     Response append(const Request &request, Topic &topic);
@@ -68,8 +68,8 @@
 
     asio::io_context &m_context;
     std::map<std::string, Topic> m_topics;
-    std::vector<asio::steady_timer *> m_waiting; // of reads for which there is no record yet
-    std::uint64_t m_calls = 0;
+    std::vector<asio::steady_timer *> m_waitingReads; // timers of the reads that wait for a record
+    std::uint64_t m_requestCount = 0;
     HttpServer m_server;
 };
 
--- a/standin/programs.h
+++ b/standin/programs.h
@@ -3,8 +3,8 @@
 namespace standin
 {
 
-// The subcommands of mulberryplank-standin. Each takes the arguments that follow the subcommand, argv[0] being its
-// name, runs to its end and returns the exit status. Each throws UsageError for a command line that can't be taken.
+// The subcommands of mulberryplank-standin. Each receives its name as argv[0] and the arguments that follow it, runs to
+// completion and returns the exit status. Each throws UsageError for an invalid command line.
 int runLog(int argc, char **argv);
 int runVms(int argc, char **argv);
 int runTarget(int argc, char **argv);
--- a/standin/runcounts.cpp
+++ b/standin/runcounts.cpp
@@ -10,13 +10,13 @@
 namespace
 {
 
-constexpr const char *NameHeaders[] = { "X-Request-Id", "Idempotency-Key", "X-Operation-Id" };
-constexpr const char *NameMember = "operation_id";
+constexpr const char *OperationIdHeaders[] = { "X-Request-Id", "Idempotency-Key", "X-Operation-Id" };
+constexpr const char *OperationIdMember = "operation_id";
 
-// Keeps a long benchmark with POST from filling the machine's memory; tests stay far below it.
-constexpr std::size_t MaxNames = 1'000'000;
+// Bounds the memory used by a long benchmark with POST. Tests stay far below this number.
+constexpr std::size_t MaxOperations = 1'000'000;
 
-std::string nameInBody(const std::string &body)
+std::string operationIdInBody(const std::string &body)
 {
     if (body.empty() || body.front() != '{') {
         return {};
@@ -26,7 +26,7 @@
     if (error || !parsed.is_object()) {
         return {};
     }
-    const boost::json::value *name = parsed.as_object().if_contains(NameMember);
+    const boost::json::value *name = parsed.as_object().if_contains(OperationIdMember);
     return name && name->is_string() ? std::string(name->as_string()) : std::string();
 }
 
@@ -38,14 +38,14 @@
     if (method == http::verb::get || method == http::verb::head || method == http::verb::options) {
         return;
     }
-    std::set<std::string> names;
-    for (const char *header : NameHeaders) {
-        names.emplace(request[header]);
+    std::set<std::string> operationIds;
+    for (const char *header : OperationIdHeaders) {
+        operationIds.emplace(request[header]);
     }
-    names.insert(nameInBody(request.body()));
-    names.erase(std::string());
-    for (const std::string &name : names) {
-        if (m_counts.size() < MaxNames || m_counts.count(name) != 0) {
+    operationIds.insert(operationIdInBody(request.body()));
+    operationIds.erase(std::string());
+    for (const std::string &name : operationIds) {
+        if (m_counts.size() < MaxOperations || m_counts.count(name) != 0) {
             ++m_counts[name];
         }
     }
--- a/standin/service.cpp
+++ b/standin/servicethreads.cpp
@@ -1,4 +1,4 @@
-#include "service.h"
+#include "servicethreads.h"
 
 #include <csignal>
 #include <thread>
@@ -23,7 +23,7 @@
 
 void ServiceThreads::onStop(std::size_t index, std::function<void()> stop)
 {
-    m_stops.emplace_back(index, std::move(stop));
+    m_stopHandlers.emplace_back(index, std::move(stop));
 }
 
 void ServiceThreads::run()
@@ -47,7 +47,7 @@
 
 void ServiceThreads::stopAll()
 {
-    for (const auto &[index, stop] : m_stops) {
+    for (const auto &[index, stop] : m_stopHandlers) {
         boost::asio::post(contextFor(index), stop);
     }
 }
--- a/standin/service.h
+++ b/standin/servicethreads.h
@@ -9,8 +9,8 @@
 namespace standin
 {
 
-// A number of io_contexts with a thread each, which run until SIGTERM or SIGINT arrives. Servers are spread over them
-// and each belongs to one, so that none of them needs a lock.
+// Runs a number of io_contexts, each on its own thread, until SIGTERM or SIGINT arrives. Servers are distributed over
+// the io_contexts. Each server uses only one of them and therefore needs no locks.
 class ServiceThreads
 {
 public:
@@ -21,17 +21,17 @@
     // Returns the io_context for the `index`th server.
     boost::asio::io_context &contextFor(std::size_t index);
 
-    // Adds what ends the `index`th server; it is called on that server's thread.
+    // Adds a handler that stops the `index`th server. It is called on that server's thread.
     void onStop(std::size_t index, std::function<void()> stop);
 
-    // Runs until a signal arrives and all servers have ended.
+    // Runs until a signal arrives and all servers have stopped.
     void run();
 
 private:
     void stopAll();
 
     std::vector<std::unique_ptr<boost::asio::io_context>> m_contexts;
-    std::vector<std::pair<std::size_t, std::function<void()>>> m_stops;
+    std::vector<std::pair<std::size_t, std::function<void()>>> m_stopHandlers;
 };
 
 } // namespace standin
--- a/standin/slots.cpp
+++ b/standin/slots.cpp
@@ -3,10 +3,10 @@
 namespace standin
 {
 
-Slots::Slots(asio::io_context &context, std::size_t count, std::size_t line)
+Slots::Slots(asio::io_context &context, std::size_t count, std::size_t queueLimit)
     : m_context(context)
     , m_count(count)
-    , m_maxLine(line)
+    , m_queueLimit(queueLimit)
 {
 }
 
@@ -16,30 +16,31 @@
         ++m_inUse;
         co_return Admission::Granted;
     }
-    if (bounded && m_line.size() >= m_maxLine) {
-        co_return Admission::Full;
+    if (bounded && m_queue.size() >= m_queueLimit) {
+        co_return Admission::QueueFull;
     }
     Waiter waiter(asio::steady_timer(m_context, deadline));
-    m_line.push_back(waiter);
+    m_queue.push_back(waiter);
     const bool open = co_await connection.waitFor(waiter.timer);
-    // A slot may be granted in the same turn in which the connection closes; nobody would give it back then.
+    // A slot may be granted in the same event loop iteration in which the connection closes. The caller only
+    // receives Closed and would never return that slot.
     if (!open && waiter.granted) {
         release();
     }
     if (!open) {
         co_return Admission::Closed;
     }
-    co_return waiter.granted ? Admission::Granted : Admission::Late;
+    co_return waiter.granted ? Admission::Granted : Admission::DeadlinePassed;
 }
 
 void Slots::release()
 {
-    if (m_line.empty()) {
+    if (m_queue.empty()) {
         --m_inUse;
         return;
     }
-    Waiter &next = m_line.front();
-    m_line.pop_front();
+    Waiter &next = m_queue.front();
+    m_queue.pop_front();
     next.granted = true;
     next.timer.cancel();
 }
--- a/standin/slots.h
+++ b/standin/slots.h
@@ -9,40 +9,40 @@
 namespace standin
 {
 
-// How a request for a slot ended.
+// The result of a request for a slot.
 enum class Admission : std::uint8_t {
     Granted,
-    Full, // the line is full: nothing was run
-    Late, // the deadline passed first: nothing was run
-    Closed, // the other end closed the connection: nothing was run
+    QueueFull, // the queue is full; the request did not run
+    DeadlinePassed, // the deadline passed before a slot was free; the request did not run
+    Closed, // the peer closed the connection; the request did not run
 };
 
-// The slots of a target and the short line before them, first come first served. Used by one thread.
+// The execution slots of a target, with a bounded FIFO queue of requests that wait for one. Thread-compatible.
 class Slots
 {
 public:
-    // `count` slots, 0 for unlimited, and at most `line` requests that wait for one.
-    Slots(asio::io_context &context, std::size_t count, std::size_t line);
+    // `count` is the number of slots, 0 for unlimited. `queueLimit` is the maximum number of waiting requests.
+    Slots(asio::io_context &context, std::size_t count, std::size_t queueLimit);
     Slots(const Slots &) = delete;
     Slots &operator=(const Slots &) = delete;
 
-    // Waits for a slot, at most until `deadline`. What is granted has to be given back by release().
-    // A request that isn't `bounded` may wait although the line is full.
+    // Waits for a slot until `deadline` at the latest. A granted slot must be returned with release(). A request that
+    // isn't `bounded` may wait even when the queue is full.
     asio::awaitable<Admission> acquire(Connection &connection, Instant deadline, bool bounded);
 
-    // Gives a slot back, to the next in line if there is one.
+    // Returns a slot. It passes to the first waiting request, if there is one.
     void release();
 
-    // Returns how many slots are taken; more than count() never, unless unlimited.
+    // Returns the number of slots in use. It never exceeds count() unless the slots are unlimited.
     std::size_t inUse() const;
 
-    // Returns how many slots there are, 0 for unlimited.
+    // Returns the number of slots, 0 for unlimited.
     std::size_t count() const;
 
 private:
     struct Waiter {
-        explicit Waiter(asio::steady_timer limit)
-            : timer(std::move(limit))
+        explicit Waiter(asio::steady_timer deadlineTimer)
+            : timer(std::move(deadlineTimer))
         {
         }
 
@@ -50,15 +50,16 @@
         bool granted = false;
         boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> hook;
     };
-    using Line = boost::intrusive::list<Waiter,
-                                        boost::intrusive::member_hook<Waiter, decltype(Waiter::hook), &Waiter::hook>,
-                                        boost::intrusive::constant_time_size<false>>;
+    using WaitQueue =
+        boost::intrusive::list<Waiter,
+                               boost::intrusive::member_hook<Waiter, decltype(Waiter::hook), &Waiter::hook>,
+                               boost::intrusive::constant_time_size<false>>;
 
     asio::io_context &m_context;
     std::size_t m_count;
-    std::size_t m_maxLine;
+    std::size_t m_queueLimit;
     std::size_t m_inUse = 0;
-    Line m_line;
+    WaitQueue m_queue;
 };
 
 } // namespace standin
--- a/standin/standintest.cpp
+++ b/standin/standintest.cpp
@@ -1,5 +1,5 @@
-// What others rely on in the stand-ins, checked over loopback. Nothing here sleeps: time that decides is passed in, and
-// a request is kept in its slot by the switch "hold".
+// Tests of the behavior of the stand-ins on which other tests rely, over loopback. No test sleeps: the clock is
+// injected, and the fault "hold" keeps a request in its slot.
 #include <memory>
 
 #include <CppUTest/TestHarness.h>
@@ -26,39 +26,42 @@
     }
 };
 
-// Failure: a writer sees its connection end and doesn't know whether its record is in the log.
-TEST(StandinLog, AppendTakesEffectAlthoughItsAnswerIsLost)
+// Guards against a stand-in that doesn't simulate an append of unknown outcome: the connection of the writer ends, and
+// the writer can't know whether its record is in the log.
+TEST(StandinLog, AppendTakesEffectWhenItsResponseIsLost)
 {
     Caller writer(context, service->port());
-    CHECK_EQUAL(
-        200,
-        Caller(context, service->port()).call(http::verb::post, "/-/faults", R"({"lose_answers":true})").result_int());
-    CHECK_EQUAL(0, writer.call(http::verb::post, "/streams/config/records", "kept").result_int());
-    const auto page = jsonOf(Caller(context, service->port()).call(http::verb::get, "/streams/config/records?from=0"));
+    CHECK_EQUAL(200,
+                Caller(context, service->port())
+                    .sendAndReceive(http::verb::post, "/-/faults", R"({"lose_answers":true})")
+                    .result_int());
+    CHECK_EQUAL(0, writer.sendAndReceive(http::verb::post, "/streams/config/records", "kept").result_int());
+    const auto page =
+        parseJson(Caller(context, service->port()).sendAndReceive(http::verb::get, "/streams/config/records?from=0"));
     CHECK_EQUAL(1U, page.at("next").to_number<unsigned>());
     CHECK(page.at("records").at(0).at("data").as_string() == "kept");
 }
 
-TEST(StandinLog, WaitingReadEndsWithTheNextRecord)
+TEST(StandinLog, WaitingReadReturnsWhenARecordIsAppended)
 {
     Caller reader(context, service->port());
     reader.send(http::verb::get, "/streams/config/records?from=0&wait_ms=60000");
     runUntil(context, [this] {
         return service->waitingReaders() == 1;
     });
-    Caller(context, service->port()).call(http::verb::post, "/streams/config/records", "first");
-    CHECK_EQUAL(1U, jsonOf(reader.receive()).at("records").as_array().size());
+    Caller(context, service->port()).sendAndReceive(http::verb::post, "/streams/config/records", "first");
+    CHECK_EQUAL(1U, parseJson(reader.receive()).at("records").as_array().size());
 }
 
 TEST_GROUP(StandinLogStore) {};
 
-TEST(StandinLogStore, KeepsTheNewestRecordsWithinBothLimits)
+TEST(StandinLogStore, RetentionLimitsCountAndAge)
 {
-    CHECK_TRUE(rc::check("records kept are those within count and age, with their own offsets", [] {
-        const auto most = *rc::gen::inRange<std::size_t>(1, 20);
+    CHECK_TRUE(rc::check("the retained records are those within count and age, with their offsets", [] {
+        const auto maxRecords = *rc::gen::inRange<std::size_t>(1, 20);
         const auto age = *rc::gen::inRange<int>(1, 30);
         const auto gaps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5));
-        LogStore store({ most, std::chrono::seconds(age) });
+        LogStore store({ maxRecords, std::chrono::seconds(age) });
         Instant now {};
         std::vector<Instant> times;
         for (const int gap : gaps) {
@@ -66,7 +69,7 @@
             RC_ASSERT(store.append("s", std::to_string(times.size()), now) == times.size());
             times.push_back(now);
         }
-        std::size_t first = times.size() - std::min(most, times.size());
+        std::size_t first = times.size() - std::min(maxRecords, times.size());
         while (first < times.size() && now - times[first] > std::chrono::seconds(age)) {
             ++first;
         }
@@ -82,17 +85,17 @@
 
 TEST_GROUP(StandinDownload) {};
 
-TEST(StandinDownload, PartsJoinToTheWhole)
+TEST(StandinDownload, RangeContinuesTheContentAtItsOffset)
 {
-    CHECK_TRUE(rc::check("the part up to any place and the range from there on give the whole", [] {
+    CHECK_TRUE(rc::check("a range from any offset selects the rest of the content, unless If-Range differs", [] {
         const auto size = *rc::gen::inRange<std::uint64_t>(1, 200'000);
         const auto at = *rc::gen::inRange<std::uint64_t>(0, size);
         const std::string range = "bytes=" + std::to_string(at) + "-";
-        const RangeAnswer rest = chooseRange(range, downloadTag(size), size);
+        const RangeSelection rest = selectRange(range, downloadETag(size), size);
         RC_ASSERT(rest.kind == RangeKind::Part);
         RC_ASSERT(rest.bytes.first == at);
         RC_ASSERT(rest.bytes.end == size);
-        RC_ASSERT(chooseRange(range, downloadTag(size + 1), size).kind == RangeKind::Whole);
+        RC_ASSERT(selectRange(range, downloadETag(size + 1), size).kind == RangeKind::Whole);
         const auto one = asio::buffer_cast<const unsigned char *>(contentAt(at, 1));
         const auto run = contentAt(at - at % 65'521, size);
         RC_ASSERT(*one == asio::buffer_cast<const unsigned char *>(run)[at % 65'521]);
@@ -119,53 +122,53 @@
         target.reset();
     }
 
-    Response switchTo(const std::string &faults)
+    Response setFaults(const std::string &faults)
     {
-        return Caller(context, target->port()).call(http::verb::post, "/-/faults", faults);
+        return Caller(context, target->port()).sendAndReceive(http::verb::post, "/-/faults", faults);
     }
 };
 
-TEST(StandinTarget, FinishesWhatIsInFlightWhileItDrains)
+TEST(StandinTarget, FinishesRequestsInFlightWhileDraining)
 {
-    switchTo(R"({"hold":true})");
+    setFaults(R"({"hold":true})");
     Caller caller(context, target->port());
     caller.send(http::verb::post, "/bookings", "{}", "b1");
     runUntil(context, [this] {
         return target->counters().started == 1;
     });
-    Caller(context, target->port()).call(http::verb::post, "/-/drain");
-    switchTo(R"({"hold":false})");
-    const Response answer = caller.receive();
-    CHECK_EQUAL(200, answer.result_int());
-    CHECK(answer["X-Draining"] == "1");
-    CHECK(answer["X-Request-Id"] == "b1");
-    CHECK_FALSE(answer.keep_alive());
+    Caller(context, target->port()).sendAndReceive(http::verb::post, "/-/drain");
+    setFaults(R"({"hold":false})");
+    const Response response = caller.receive();
+    CHECK_EQUAL(200, response.result_int());
+    CHECK(response["X-Draining"] == "1");
+    CHECK(response["X-Request-Id"] == "b1");
+    CHECK_FALSE(response.keep_alive());
     CHECK_EQUAL(0, target->counters().startedWhileLeaving);
 }
 
-TEST(StandinTarget, CountsARunForEachStartAndNoneForWhatWasShed)
+TEST(StandinTarget, CountsEachStartedRunButNoShedRequest)
 {
-    switchTo(R"({"hold":true})");
+    setFaults(R"({"hold":true})");
     Caller caller(context, target->port());
     caller.send(http::verb::post, "/bookings", R"({"operation_id":"op"})", "b1");
     runUntil(context, [this] {
         return target->counters().started == 1;
     });
-    const Response shed = Caller(context, target->port()).call(http::verb::post, "/bookings", "{}", "b2");
+    const Response shed = Caller(context, target->port()).sendAndReceive(http::verb::post, "/bookings", "{}", "b2");
     CHECK_EQUAL(503, shed.result_int());
     CHECK(shed["X-Not-Run"] == "1");
-    switchTo(R"({"hold":false})");
+    setFaults(R"({"hold":false})");
     CHECK_EQUAL(200, caller.receive().result_int());
-    caller.call(http::verb::post, "/bookings", "{}", "b1");
-    CHECK_EQUAL(2, counter(context, target->port(), "/-/runs", "b1"));
-    CHECK_EQUAL(1, counter(context, target->port(), "/-/runs", "op"));
-    CHECK_EQUAL(0, counter(context, target->port(), "/-/runs", "b2"));
+    caller.sendAndReceive(http::verb::post, "/bookings", "{}", "b1");
+    CHECK_EQUAL(2, fetchCounter(context, target->port(), "/-/runs", "b1"));
+    CHECK_EQUAL(1, fetchCounter(context, target->port(), "/-/runs", "op"));
+    CHECK_EQUAL(0, fetchCounter(context, target->port(), "/-/runs", "b2"));
 }
 
-// Failure: a target's slots stay taken by requests whose callers have long gone.
+// Guards against slots that stay occupied by requests whose callers have disconnected.
 TEST(StandinTarget, ClosingTheConnectionFreesTheSlot)
 {
-    switchTo(R"({"hold":true})");
+    setFaults(R"({"hold":true})");
     Caller caller(context, target->port());
     caller.send(http::verb::get, "/read");
     runUntil(context, [this] {
@@ -175,5 +178,5 @@
     runUntil(context, [this] {
         return target->counters().cancelled == 1;
     });
-    CHECK_EQUAL(0, counter(context, target->port(), "/-/counters", "in_flight"));
+    CHECK_EQUAL(0, fetchCounter(context, target->port(), "/-/counters", "in_flight"));
 }
--- a/standin/target.cpp
+++ b/standin/target.cpp
@@ -8,7 +8,7 @@
 
 #include <boost/json/serialize.hpp>
 
-#include "switches.h"
+#include "jsonobjectreader.h"
 
 namespace standin
 {
@@ -25,29 +25,29 @@
 constexpr double LogNormalSigma = 1.0;
 constexpr double ColdFactor = 5;
 constexpr std::uint64_t DownloadChunk = std::uint64_t { 64 } << 10;
-constexpr std::uint64_t MaxDeadlineMillis = 24ULL * 3600 * 1000; // more would overflow the clock
+constexpr std::uint64_t MaxDeadlineMillis = 24ULL * 3600 * 1000; // a larger deadline would overflow the clock
 
-std::optional<std::uint64_t> numberIn(std::string_view text)
+std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
     std::uint64_t number = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
     return !text.empty() && parsed.ec == std::errc {} ? std::optional(number) : std::nullopt;
 }
 
-// Gives a slot back when a request leaves it, whichever way that happens.
-class SlotHolder
+// Releases a slot at the end of its scope, however the request ends.
+class SlotGuard
 {
 public:
-    explicit SlotHolder(Slots &slots)
+    explicit SlotGuard(Slots &slots)
         : m_slots(slots)
     {
     }
-    ~SlotHolder()
+    ~SlotGuard()
     {
         m_slots.release();
     }
-    SlotHolder(const SlotHolder &) = delete;
-    SlotHolder &operator=(const SlotHolder &) = delete;
+    SlotGuard(const SlotGuard &) = delete;
+    SlotGuard &operator=(const SlotGuard &) = delete;
 
 private:
     Slots &m_slots;
@@ -67,7 +67,7 @@
         return handle(connection);
     })
 {
-    m_server.limitBody(m_settings.maxBody);
+    m_server.setMaxBodySize(m_settings.maxBody);
     if (m_settings.name.empty()) {
         m_settings.name = "target-" + std::to_string(port());
     }
@@ -86,71 +86,71 @@
 void Target::stop()
 {
     m_server.stop();
-    for (asio::steady_timer *timer : m_held) {
+    for (asio::steady_timer *timer : m_heldRequests) {
         timer->cancel();
     }
 }
 
-asio::awaitable<After> Target::handle(Connection &connection)
+asio::awaitable<ConnectionAction> Target::handle(Connection &connection)
 {
-    const std::string_view path = pathOf(connection.request().target());
+    const std::string_view path = requestPath(connection.request().target());
     if (!path.starts_with("/-/")) {
-        co_return co_await work(connection);
+        co_return co_await handleWork(connection);
     }
     if (path == "/-/health") {
-        co_return co_await probe(connection);
+        co_return co_await handleProbe(connection);
     }
-    co_await connection.send(control(connection, path));
-    co_return After::KeepOpen;
+    co_await connection.send(handleControl(connection, path));
+    co_return ConnectionAction::KeepOpen;
 }
 
-asio::awaitable<After> Target::probe(Connection &connection)
+asio::awaitable<ConnectionAction> Target::handleProbe(Connection &connection)
 {
     ++m_counters.probes;
     const TargetFaults faults = currentFaults();
     if (faults.lieHealth) {
         co_await connection.send(health());
-        co_return After::KeepOpen;
+        co_return ConnectionAction::KeepOpen;
     }
     if (co_await m_slots.acquire(connection, Instant::max(), false) != Admission::Granted) {
-        co_return After::Close;
+        co_return ConnectionAction::Close;
     }
-    const SlotHolder slot(m_slots);
-    const Fate fate = drawFate(faults);
-    if (fate == Fate::Hung) {
-        co_await connection.hang();
+    const SlotGuard slot(m_slots);
+    const Outcome outcome = drawOutcome(faults);
+    if (outcome == Outcome::Hung) {
+        co_await connection.waitUntilClosed();
     }
-    if (fate == Fate::Reset) {
-        co_return After::Reset;
+    if (outcome == Outcome::Reset) {
+        co_return ConnectionAction::Reset;
     }
-    if (fate == Fate::Hung || !co_await serviceTime(connection, m_settings.probeMs)) {
-        co_return After::Close;
+    if (outcome == Outcome::Hung || !co_await waitServiceTime(connection, m_settings.probeMs)) {
+        co_return ConnectionAction::Close;
     }
     Response response = health();
-    if (fate == Fate::Error) {
+    if (outcome == Outcome::Error) {
         response.result(http::status::internal_server_error);
     }
     co_await connection.send(std::move(response));
-    co_return After::KeepOpen;
+    co_return ConnectionAction::KeepOpen;
 }
 
-asio::awaitable<After> Target::work(Connection &connection)
+asio::awaitable<ConnectionAction> Target::handleWork(Connection &connection)
 {
     const Admission admission = co_await m_slots.acquire(connection, deadlineOf(connection.request()), true);
     if (admission != Admission::Granted) {
-        co_return co_await refuse(connection, admission);
+        co_return co_await reject(connection, admission);
     }
-    const SlotHolder slot(m_slots);
+    const SlotGuard slot(m_slots);
     co_return co_await run(connection);
 }
 
-asio::awaitable<After> Target::refuse(Connection &connection, Admission admission)
+asio::awaitable<ConnectionAction> Target::reject(Connection &connection, Admission admission)
 {
     if (admission == Admission::Closed) {
         ++m_counters.cancelled;
-        co_return After::Close;
+        co_return ConnectionAction::Close;
     }
-    const bool late = admission == Admission::Late;
+    const bool late = admission == Admission::DeadlinePassed;
     ++(late ? m_counters.late : m_counters.shed);
     Response response = errorResponse(late ? http::status::gateway_timeout : http::status::service_unavailable,
                                       late ? "deadline before start" : "shed");
@@ -160,41 +160,41 @@
     }
     addHeaders(response, connection.request()[RequestIdHeader]);
     co_await connection.send(std::move(response));
-    co_return After::KeepOpen;
+    co_return ConnectionAction::KeepOpen;
 }
 
-asio::awaitable<After> Target::run(Connection &connection)
+asio::awaitable<ConnectionAction> Target::run(Connection &connection)
 {
     const Request &request = connection.request();
     ++m_counters.started;
     m_counters.startedWhileLeaving += m_leaving ? 1 : 0;
     m_runs.count(request);
-    const Fate fate = drawFate(currentFaults());
-    if (fate == Fate::Hung) {
-        co_await connection.hang();
+    const Outcome outcome = drawOutcome(currentFaults());
+    if (outcome == Outcome::Hung) {
+        co_await connection.waitUntilClosed();
         co_return finished(false);
     }
-    if (!co_await serviceTime(connection, drawServiceMs()) || !co_await holdIfSwitched(connection)) {
+    if (!co_await waitServiceTime(connection, drawServiceMs()) || !co_await holdIfRequested(connection)) {
         co_return finished(false);
     }
-    if (fate == Fate::Reset) {
-        co_return After::Reset;
+    if (outcome == Outcome::Reset) {
+        co_return ConnectionAction::Reset;
     }
-    const auto size = downloadSize(pathOf(request.target()));
-    if (size && fate != Fate::Error) {
-        co_return co_await download(connection, *size, fate);
+    const auto size = downloadSize(requestPath(request.target()));
+    if (size && outcome != Outcome::Error) {
+        co_return co_await download(connection, *size, outcome);
     }
-    co_return co_await answer(connection, fate);
+    co_return co_await respond(connection, outcome);
 }
 
-asio::awaitable<After> Target::answer(Connection &connection, Fate fate)
+asio::awaitable<ConnectionAction> Target::respond(Connection &connection, Outcome outcome)
 {
-    Response response = fate == Fate::Error ? errorResponse(http::status::internal_server_error, "failed")
-                                            : answerFor(connection.request());
-    if (fate == Fate::Error) {
+    Response response = outcome == Outcome::Error ? errorResponse(http::status::internal_server_error, "failed")
+                                                  : makeResponse(connection.request());
+    if (outcome == Outcome::Error) {
         addHeaders(response, connection.request()[RequestIdHeader]);
     }
-    if (fate != Fate::Truncated && fate != Fate::Stalled) {
+    if (outcome != Outcome::Truncated && outcome != Outcome::Stalled) {
         co_return finished(co_await connection.send(std::move(response)));
     }
     response.prepare_payload();
@@ -202,16 +202,16 @@
     head << response.base();
     const std::string bytes = head.str() + response.body().substr(0, response.body().size() / 2);
     co_await connection.sendRaw(asio::buffer(bytes));
-    if (fate == Fate::Stalled) {
-        co_await connection.hang();
+    if (outcome == Outcome::Stalled) {
+        co_await connection.waitUntilClosed();
     }
     co_return finished(false);
 }
 
-asio::awaitable<After> Target::download(Connection &connection, std::uint64_t size, Fate fate)
+asio::awaitable<ConnectionAction> Target::download(Connection &connection, std::uint64_t size, Outcome outcome)
 {
     const Request &request = connection.request();
-    const RangeAnswer range = chooseRange(request[http::field::range], request[http::field::if_range], size);
+    const RangeSelection range = selectRange(request[http::field::range], request[http::field::if_range], size);
     if (range.kind == RangeKind::Unsatisfiable) {
         Response response = errorResponse(http::status::range_not_satisfiable, "no such range");
         response.set(http::field::content_range, "bytes */" + std::to_string(size));
@@ -220,28 +220,28 @@
     }
     const std::string head = downloadHead(request, range, size);
     bool open = co_await connection.sendRaw(asio::buffer(head));
-    const bool cut = fate == Fate::Truncated || fate == Fate::Stalled;
+    const bool truncated = outcome == Outcome::Truncated || outcome == Outcome::Stalled;
     const std::uint64_t length = request.method() == http::verb::head ? 0 : range.bytes.end - range.bytes.first;
-    const std::uint64_t end = range.bytes.first + (cut ? length / 2 : length);
+    const std::uint64_t end = range.bytes.first + (truncated ? length / 2 : length);
     for (std::uint64_t offset = range.bytes.first; open && offset < end;) {
         const asio::const_buffer chunk = contentAt(offset, std::min(end - offset, DownloadChunk));
         offset += chunk.size();
         open = co_await connection.sendRaw(chunk);
     }
-    if (open && fate == Fate::Stalled) {
-        co_await connection.hang();
+    if (open && outcome == Outcome::Stalled) {
+        co_await connection.waitUntilClosed();
     }
-    co_return finished(open && !cut);
+    co_return finished(open && !truncated);
 }
 
-std::string Target::downloadHead(const Request &request, const RangeAnswer &range, std::uint64_t size) const
+std::string Target::downloadHead(const Request &request, const RangeSelection &range, std::uint64_t size) const
 {
-    const bool part = range.kind == RangeKind::Part;
-    Response response(part ? http::status::partial_content : http::status::ok, 11);
+    const bool partial = range.kind == RangeKind::Part;
+    Response response(partial ? http::status::partial_content : http::status::ok, 11);
     response.set(http::field::content_type, "application/octet-stream");
     response.set(http::field::accept_ranges, "bytes");
-    response.set(http::field::etag, downloadTag(size));
-    if (part) {
+    response.set(http::field::etag, downloadETag(size));
+    if (partial) {
         response.set(http::field::content_range,
                      "bytes " + std::to_string(range.bytes.first) + "-" + std::to_string(range.bytes.end - 1) + "/"
                          + std::to_string(size));
@@ -254,34 +254,34 @@
     return head.str();
 }
 
-After Target::finished(bool delivered)
+ConnectionAction Target::finished(bool delivered)
 {
     ++(delivered ? m_counters.finished : m_counters.cancelled);
-    // A target that leaves ends each connection with the answer on it.
-    return delivered && !m_leaving ? After::KeepOpen : After::Close;
+    // A draining target closes each connection when a response has been sent on it.
+    return delivered && !m_leaving ? ConnectionAction::KeepOpen : ConnectionAction::Close;
 }
 
-asio::awaitable<bool> Target::serviceTime(Connection &connection, double normalMs)
+asio::awaitable<bool> Target::waitServiceTime(Connection &connection, double normalMs)
 {
-    const std::string_view path = pathOf(connection.request().target());
-    const double millis = slowed(currentFaults(), path, normalMs) * (cold() ? ColdFactor : 1);
-    co_return co_await connection.pause(
+    const std::string_view path = requestPath(connection.request().target());
+    const double millis = slowedServiceTime(currentFaults(), path, normalMs) * (cold() ? ColdFactor : 1);
+    co_return co_await connection.sleep(
         std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(millis)));
 }
 
-asio::awaitable<bool> Target::holdIfSwitched(Connection &connection)
+asio::awaitable<bool> Target::holdIfRequested(Connection &connection)
 {
     if (!currentFaults().hold) {
         co_return true;
     }
     asio::steady_timer released(m_context, Instant::max());
-    m_held.push_back(&released);
+    m_heldRequests.push_back(&released);
     const bool open = co_await connection.waitFor(released);
-    std::erase(m_held, &released);
+    std::erase(m_heldRequests, &released);
     co_return open;
 }
 
-Response Target::control(const Connection &connection, std::string_view path)
+Response Target::handleControl(const Connection &connection, std::string_view path)
 {
     const Request &request = connection.request();
     if (path == "/-/load") {
@@ -320,10 +320,10 @@
 Response Target::drain(const std::string &body)
 {
     try {
-        Switches switches(body.empty() ? "{}" : body);
+        JsonObjectReader reader(body.empty() ? "{}" : body);
         bool leaving = true;
-        switches.take("leaving", leaving);
-        switches.finish();
+        reader.extract("leaving", leaving);
+        reader.rejectUnknown();
         m_leaving = leaving;
     } catch (const std::invalid_argument &refusal) {
         return errorResponse(http::status::bad_request, refusal.what());
@@ -335,7 +335,7 @@
 {
     try {
         if (connection.request().method() == http::verb::post) {
-            switchFaults(connection);
+            updateFaults(connection);
         }
     } catch (const std::invalid_argument &refusal) {
         return errorResponse(http::status::bad_request, refusal.what());
@@ -343,20 +343,20 @@
     return jsonResponse(http::status::ok, toJson(m_faults));
 }
 
-void Target::switchFaults(const Connection &connection)
+void Target::updateFaults(const Connection &connection)
 {
-    Switches switches(connection.request().body());
-    bool silence = false;
-    switches.take("silent_connections", silence);
-    change(m_faults, switches);
+    JsonObjectReader reader(connection.request().body());
+    bool makeUnresponsive = false;
+    reader.extract("silent_connections", makeUnresponsive);
+    applyFaults(m_faults, reader);
     m_faultsAt = m_clock();
     m_server.refuseAfterAccept(m_faults.refuseAfterAccept);
-    if (silence) {
-        // Whoever switches this gets the answer that says so.
-        m_server.silenceOpenConnections(connection);
+    if (makeUnresponsive) {
+        // The connection of this request is excepted, so that the client gets the response to it.
+        m_server.makeOpenConnectionsUnresponsive(connection);
     }
     if (!m_faults.hold) {
-        for (asio::steady_timer *timer : m_held) {
+        for (asio::steady_timer *timer : m_heldRequests) {
             timer->cancel();
         }
     }
@@ -375,27 +375,28 @@
                                               { "in_flight", m_slots.inUse() } });
 }
 
-Response Target::answerFor(const Request &request)
+Response Target::makeResponse(const Request &request)
 {
-    Finished own { std::string(request[RequestIdHeader]), {} };
+    ResponseContent current { std::string(request[RequestIdHeader]), {} };
     boost::json::object body { { "target", m_settings.name },
                                { "method", request.method_string() },
                                { "path", request.target() },
-                               { "request_id", own.requestId },
+                               { "request_id", current.requestId },
                                { "body_bytes", request.body().size() } };
     if (const auto account = request.find(AccountHeader); account != request.end()) {
         body["account"] = account->value();
     }
-    own.body = boost::json::serialize(body);
-    Finished shown = own;
+    current.body = boost::json::serialize(body);
+    ResponseContent sent = current;
     if (currentFaults().wrongBody) {
-        shown = m_last.body.empty() ? Finished { "another-request", "{\"request_id\":\"another-request\"}" } : m_last;
+        sent = m_previous.body.empty() ? ResponseContent { "another-request", "{\"request_id\":\"another-request\"}" }
+                                       : m_previous;
     }
-    m_last = std::move(own);
+    m_previous = std::move(current);
     Response response(http::status::ok, 11);
     response.set(http::field::content_type, "application/json");
-    response.body() = std::move(shown.body);
-    addHeaders(response, shown.requestId);
+    response.body() = std::move(sent.body);
+    addHeaders(response, sent.requestId);
     return response;
 }
 
@@ -413,31 +414,31 @@
 
 TargetFaults Target::currentFaults() const
 {
-    return inForce(m_faults, m_clock() - m_faultsAt);
+    return activeFaults(m_faults, m_clock() - m_faultsAt);
 }
 
 Instant Target::deadlineOf(const Request &request) const
 {
-    const auto left = numberIn(request[DeadlineHeader]);
-    if (!left) {
+    const auto remainingMs = parseNumber(request[DeadlineHeader]);
+    if (!remainingMs) {
         return Instant::max();
     }
-    return std::chrono::steady_clock::now() + std::chrono::milliseconds(std::min(*left, MaxDeadlineMillis));
+    return std::chrono::steady_clock::now() + std::chrono::milliseconds(std::min(*remainingMs, MaxDeadlineMillis));
 }
 
-Target::Fate Target::drawFate(const TargetFaults &faults)
+Target::Outcome Target::drawOutcome(const TargetFaults &faults)
 {
-    const std::pair<double, Fate> shares[] = {
-        { faults.hangShare, Fate::Hung },     { faults.resetShare, Fate::Reset },
-        { faults.errorShare, Fate::Error },   { faults.truncateShare, Fate::Truncated },
-        { faults.stallShare, Fate::Stalled },
+    const std::pair<double, Outcome> shares[] = {
+        { faults.hangShare, Outcome::Hung },     { faults.resetShare, Outcome::Reset },
+        { faults.errorShare, Outcome::Error },   { faults.truncateShare, Outcome::Truncated },
+        { faults.stallShare, Outcome::Stalled },
     };
-    for (const auto &[share, fate] : shares) {
+    for (const auto &[share, outcome] : shares) {
         if (share > 0 && std::uniform_real_distribution<>(0, 1)(m_random) < share) {
-            return fate;
+            return outcome;
         }
     }
-    return Fate::Whole;
+    return Outcome::Whole;
 }
 
 double Target::drawServiceMs()
--- a/standin/target.h
+++ b/standin/target.h
@@ -13,38 +13,39 @@
 namespace standin
 {
 
-// How the time that a request takes is distributed about its mean.
+// The distribution of the service time of requests around its mean.
 enum class ServiceTime : std::uint8_t {
     Fixed,
-    LogNormal, // heavy-tailed: about one request in a hundred takes six times the mean
+    LogNormal, // heavy-tailed: about 1 request in 100 takes six times the mean
 };
 
 struct TargetSettings {
-    std::string name; // "target-PORT" unless given
+    std::string name; // "target-PORT" by default
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
     std::size_t slots = 4; // 0: unlimited
-    std::size_t queue = 4; // requests that may wait for a slot; more are shed
+    std::size_t queue = 4; // maximum number of requests that wait for a slot; further requests are shed
     double serviceMs = 0; // mean
     ServiceTime distribution = ServiceTime::Fixed;
-    double probeMs = 0; // what answering the health endpoint takes of a slot
-    std::chrono::milliseconds cold { 0 }; // from the start on; everything takes longer meanwhile
+    double probeMs = 0; // time for which a request for the health endpoint occupies a slot
+    std::chrono::milliseconds cold { 0 }; // time from the start during which all requests take longer
     std::uint64_t seed = 1;
     std::size_t maxBody = std::size_t { 64 } << 20;
 };
 
-// What a target did so far.
+// The counters of a target since its start.
 struct TargetCounters {
-    std::uint64_t started = 0; // got a slot and began to run
-    std::uint64_t finished = 0; // answered in full
-    std::uint64_t cancelled = 0; // the connection closed before the answer was out, before or after the start
-    std::uint64_t shed = 0; // 503, not run
-    std::uint64_t late = 0; // 504, not run: no slot before the deadline
+    std::uint64_t started = 0; // requests that got a slot and started to run
+    std::uint64_t finished = 0; // requests with a complete response
+    std::uint64_t cancelled =
+        0; // the connection closed before the response was sent, before or after the request started
+    std::uint64_t shed = 0; // rejected with 503, not run
+    std::uint64_t late = 0; // rejected with 504, not run: no slot was free before the deadline
     std::uint64_t startedWhileLeaving = 0;
-    std::uint64_t probes = 0; // calls of the health endpoint
+    std::uint64_t probes = 0; // requests for the health endpoint
 };
 
-// A target of a service, as docs/PLATFORM.md describes it, with faults that can be switched over HTTP while it runs.
+// A target of a service, as described in docs/PLATFORM.md. Its faults can be changed over HTTP while it runs.
 class Target
 {
 public:
@@ -52,22 +53,22 @@
     Target(const Target &) = delete;
     Target &operator=(const Target &) = delete;
 
-    // Returns the port that was bound.
+    // Returns the bound port.
     std::uint16_t port() const;
 
-    // Returns what it did so far.
+    // Returns the counters since the start.
     const TargetCounters &counters() const;
 
-    // Ends it; see HttpServer.
+    // Stops the target; see HttpServer.
     void stop();
 
 private:
-    struct Finished {
+    struct ResponseContent {
         std::string requestId;
         std::string body;
     };
-    // What befalls an answer, drawn once per request.
-    enum class Fate : std::uint8_t {
+    // How a response is sent or fails, drawn at random once per request.
+    enum class Outcome : std::uint8_t {
         Whole,
         Error,
         Truncated,
@@ -76,31 +77,31 @@
         Reset,
     };
 
-    asio::awaitable<After> handle(Connection &connection);
-    asio::awaitable<After> probe(Connection &connection);
-    asio::awaitable<After> work(Connection &connection);
-    asio::awaitable<After> run(Connection &connection);
-    asio::awaitable<After> refuse(Connection &connection, Admission admission);
-    asio::awaitable<After> answer(Connection &connection, Fate fate);
-    asio::awaitable<After> download(Connection &connection, std::uint64_t size, Fate fate);
-    asio::awaitable<bool> serviceTime(Connection &connection, double normalMs);
-    asio::awaitable<bool> holdIfSwitched(Connection &connection);
-    std::string downloadHead(const Request &request, const RangeAnswer &range, std::uint64_t size) const;
-    After finished(bool delivered);
-
-    Response control(const Connection &connection, std::string_view path);
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    asio::awaitable<ConnectionAction> handleProbe(Connection &connection);
+    asio::awaitable<ConnectionAction> handleWork(Connection &connection);
+    asio::awaitable<ConnectionAction> run(Connection &connection);
+    asio::awaitable<ConnectionAction> reject(Connection &connection, Admission admission);
+    asio::awaitable<ConnectionAction> respond(Connection &connection, Outcome outcome);
+    asio::awaitable<ConnectionAction> download(Connection &connection, std::uint64_t size, Outcome outcome);
+    asio::awaitable<bool> waitServiceTime(Connection &connection, double normalMs);
+    asio::awaitable<bool> holdIfRequested(Connection &connection);
+    std::string downloadHead(const Request &request, const RangeSelection &range, std::uint64_t size) const;
+    ConnectionAction finished(bool delivered);
+
+    Response handleControl(const Connection &connection, std::string_view path);
     Response health() const;
     Response load() const;
     Response drain(const std::string &body);
     Response faults(const Connection &connection);
     Response countersResponse() const;
-    Response answerFor(const Request &request);
-    void switchFaults(const Connection &connection);
+    Response makeResponse(const Request &request);
+    void updateFaults(const Connection &connection);
     void addHeaders(Response &response, std::string_view requestId) const;
 
     TargetFaults currentFaults() const;
     Instant deadlineOf(const Request &request) const;
-    Fate drawFate(const TargetFaults &faults);
+    Outcome drawOutcome(const TargetFaults &faults);
     double drawServiceMs();
     bool cold() const;
     std::size_t reportedLoad() const;
@@ -114,9 +115,9 @@
     TargetCounters m_counters;
     TargetFaults m_faults;
     Instant m_faultsAt;
-    std::vector<asio::steady_timer *> m_held;
+    std::vector<asio::steady_timer *> m_heldRequests;
     std::mt19937_64 m_random;
-    Finished m_last;
+    ResponseContent m_previous;
     bool m_leaving = false;
     HttpServer m_server;
 };
--- a/standin/targetfaults.h
+++ b/standin/targetfaults.h
@@ -9,36 +9,38 @@
 namespace standin
 {
 
-class Switches;
+class JsonObjectReader;
 
-// The ways in which a target can be made to fail partially. Shares are probabilities per request, from 0 to 1.
+// The simulated partial failures of a target. Shares are probabilities per request, from 0 to 1.
 struct TargetFaults {
     double slowFactor = 1; // multiplies the service time
-    double slowMs = 0; // is added to the service time
-    std::string slowPath; // the two above apply to paths that begin so; empty: to all
-    double errorShare = 0; // answered 500
-    double truncateShare = 0; // half of the body, then the connection closes
-    double stallShare = 0; // half of the body, then nothing
-    double hangShare = 0; // no answer at all, the slot stays taken
-    double resetShare = 0; // the request runs, then a TCP reset takes the place of the answer
-    bool wrongBody = false; // the id and body of another request
-    bool lieHealth = false; // the health endpoint answers ok at once, whatever is the case
-    bool lieLoad = false; // the load reported is always 0
-    bool refuseAfterAccept = false; // new connections are closed once accepted
-    bool hold = false; // requests stay in their slots until this is switched off
-    double flapMs = 0; // all of the above hold and don't hold by turns of this length; 0: they hold
+    double slowMs = 0; // added to the service time
+    std::string slowPath; // path prefix to which the two above apply; empty: all paths
+    double errorShare = 0; // the request runs and gets 500
+    double truncateShare = 0; // half of the body is sent, then the connection closes
+    double stallShare = 0; // half of the body is sent, then nothing more
+    double hangShare = 0; // no response at all; the slot stays occupied
+    double resetShare = 0; // the request runs, then the connection is reset without a response
+    bool wrongBody = false; // the response has the id and body of another request
+    bool lieHealth = false; // the health endpoint always responds ok, without delay
+    bool lieLoad = false; // the reported load is always 0
+    bool refuseAfterAccept = false; // new connections are closed immediately when accepted
+    bool hold = false; // requests stay in their slots until this is false
+    double flapMs = 0; // the faults above are active in every second period of this length; 0: always active
 };
 
-// Changes the faults that are named in `switches`, and leaves the others. Throws std::invalid_argument.
-void change(TargetFaults &faults, Switches &switches);
+// Updates the faults that `reader` contains and keeps the others. Throws std::invalid_argument for an unknown name or
+// an invalid value, and changes nothing then.
+void applyFaults(TargetFaults &faults, JsonObjectReader &reader);
 
-// Returns the faults under the names by which they are switched.
+// Returns all faults, under the names that applyFaults() reads.
 boost::json::object toJson(const TargetFaults &faults);
 
-// Returns the faults in force after `sinceSwitched`: none in every second turn when they flap.
-TargetFaults inForce(const TargetFaults &faults, std::chrono::nanoseconds sinceSwitched);
+// Returns the faults that are active `sinceChange` after they were set. With flapMs, none are active in every second
+// period.
+TargetFaults activeFaults(const TargetFaults &faults, std::chrono::nanoseconds sinceChange);
 
-// Returns the service time in milliseconds that `path` gets in place of `normalMs`.
-double slowed(const TargetFaults &faults, std::string_view path, double normalMs);
+// Returns the service time of `path` in milliseconds when it would be `normalMs` without faults.
+double slowedServiceTime(const TargetFaults &faults, std::string_view path, double normalMs);
 
 } // namespace standin
--- a/standin/targetfaultstest.cpp
+++ b/standin/targetfaultstest.cpp
@@ -1,4 +1,5 @@
-// That each fault of a target does what docs/PLATFORM.md says, for tests that rely on it. Nothing here sleeps.
+// Tests that each fault of a target behaves as described in docs/PLATFORM.md, since other tests rely on it. No test
+// sleeps.
 #include <CppUTest/TestHarness.h>
 #include <rapidcheck.h>
 
@@ -11,19 +12,19 @@
 namespace
 {
 
-constexpr std::size_t MostBytes = 4096; // more than any answer here has
+constexpr std::size_t MaxBytes = 4096; // larger than any response in these tests
 
-// An answer as it came, without judging it.
-struct Bytes {
+// A response as received, without validation.
+struct RawResponse {
     std::string head;
     std::string body;
     std::size_t contentLength = 0;
 };
 
-Bytes split(const std::string &bytes)
+RawResponse parseRawResponse(const std::string &bytes)
 {
     const std::size_t end = bytes.find("\r\n\r\n");
-    Bytes found;
+    RawResponse found;
     if (end == std::string::npos) {
         return found;
     }
@@ -57,23 +58,23 @@
         target.reset();
     }
 
-    void switchTo(const std::string &faults)
+    void setFaults(const std::string &faults)
     {
-        const Response answer = Caller(context, target->port()).call(http::verb::post, "/-/faults", faults);
-        CHECK_EQUAL(200, answer.result_int());
+        const Response response = Caller(context, target->port()).sendAndReceive(http::verb::post, "/-/faults", faults);
+        CHECK_EQUAL(200, response.result_int());
     }
 
     std::uint64_t inFlight()
     {
-        return counter(context, target->port(), "/-/counters", "in_flight");
+        return fetchCounter(context, target->port(), "/-/counters", "in_flight");
     }
 
     std::uint64_t runs(const char *id)
     {
-        return counter(context, target->port(), "/-/runs", id);
+        return fetchCounter(context, target->port(), "/-/runs", id);
     }
 
-    void untilStarted(std::uint64_t count)
+    void runUntilStarted(std::uint64_t count)
     {
         runUntil(context, [this, count] {
             return target->counters().started == count;
@@ -81,15 +82,15 @@
     }
 };
 
-TEST(TargetFaults, AHungRequestGetsNothingAndKeepsItsSlotUntilItsConnectionCloses)
+TEST(TargetFaults, HungRequestGetsNoResponseAndHoldsItsSlotUntilItsConnectionCloses)
 {
-    switchTo(R"({"hang_share":1})");
+    setFaults(R"({"hang_share":1})");
     Caller caller(context, target->port());
     caller.send(http::verb::get, "/read");
-    untilStarted(1);
+    runUntilStarted(1);
     CHECK_EQUAL(1, inFlight());
-    CHECK(caller.hearsNothing());
-    CHECK_EQUAL(503, Caller(context, target->port()).call(http::verb::get, "/read").result_int());
+    CHECK(caller.isOpenAndIdle());
+    CHECK_EQUAL(503, Caller(context, target->port()).sendAndReceive(http::verb::get, "/read").result_int());
     caller.close();
     runUntil(context, [this] {
         return target->counters().cancelled == 1;
@@ -97,57 +98,57 @@
     CHECK_EQUAL(0, inFlight());
 }
 
-TEST(TargetFaults, AResetComesAfterTheWorkWasDone)
+TEST(TargetFaults, ResetFollowsAfterTheRequestRan)
 {
-    switchTo(R"({"reset_share":1})");
+    setFaults(R"({"reset_share":1})");
     Caller caller(context, target->port());
     caller.send(http::verb::post, "/bookings", "{}", "b1");
     boost::system::error_code end;
-    CHECK(caller.receiveBytes(MostBytes, end).empty());
+    CHECK(caller.receiveBytes(MaxBytes, end).empty());
     CHECK(end == asio::error::connection_reset);
     CHECK_EQUAL(1, runs("b1"));
 }
 
-TEST(TargetFaults, AnErrorComesAfterTheWorkWasDone)
+TEST(TargetFaults, ErrorResponseFollowsAfterTheRequestRan)
 {
-    switchTo(R"({"error_share":1})");
-    const Response answer = Caller(context, target->port()).call(http::verb::post, "/bookings", "{}", "b1");
-    CHECK_EQUAL(500, answer.result_int());
-    CHECK(answer["X-Request-Id"] == "b1");
-    CHECK(answer.find("X-Not-Run") == answer.end());
+    setFaults(R"({"error_share":1})");
+    const Response response = Caller(context, target->port()).sendAndReceive(http::verb::post, "/bookings", "{}", "b1");
+    CHECK_EQUAL(500, response.result_int());
+    CHECK(response["X-Request-Id"] == "b1");
+    CHECK(response.find("X-Not-Run") == response.end());
     CHECK_EQUAL(1, runs("b1"));
 }
 
-TEST(TargetFaults, ATruncatedAnswerEndsInOrderAfterHalfItsBody)
+TEST(TargetFaults, TruncatedResponseEndsWithEofAfterHalfItsBody)
 {
-    switchTo(R"({"truncate_share":1})");
+    setFaults(R"({"truncate_share":1})");
     Caller caller(context, target->port());
     caller.send(http::verb::get, "/read", {}, "r1");
     boost::system::error_code end;
-    const Bytes answer = split(caller.receiveBytes(MostBytes, end));
+    const RawResponse response = parseRawResponse(caller.receiveBytes(MaxBytes, end));
     CHECK(end == asio::error::eof);
-    CHECK(answer.contentLength > 1);
-    CHECK_EQUAL(answer.contentLength / 2, answer.body.size());
+    CHECK(response.contentLength > 1);
+    CHECK_EQUAL(response.contentLength / 2, response.body.size());
 }
 
-TEST(TargetFaults, ATruncatedDownloadIsTheFirstHalfOfTheWholeOne)
+TEST(TargetFaults, TruncatedDownloadContainsTheFirstHalf)
 {
     const std::string path = "/download/1000";
-    const std::string whole = Caller(context, target->port()).call(http::verb::get, path).body();
-    switchTo(R"({"truncate_share":1})");
+    const std::string whole = Caller(context, target->port()).sendAndReceive(http::verb::get, path).body();
+    setFaults(R"({"truncate_share":1})");
     Caller caller(context, target->port());
     caller.send(http::verb::get, path);
     boost::system::error_code end;
-    const Bytes answer = split(caller.receiveBytes(MostBytes, end));
+    const RawResponse response = parseRawResponse(caller.receiveBytes(MaxBytes, end));
     CHECK(end == asio::error::eof);
-    CHECK_EQUAL(1000U, answer.contentLength);
-    CHECK(answer.body == whole.substr(0, 500));
+    CHECK_EQUAL(1000U, response.contentLength);
+    CHECK(response.body == whole.substr(0, 500));
 }
 
-TEST(TargetFaults, AStalledAnswerStopsAfterHalfItsBodyAndStaysOpen)
+TEST(TargetFaults, StalledResponseStopsAfterHalfItsBodyAndKeepsTheConnectionOpen)
 {
     const std::string path = "/download/1000";
-    switchTo(R"({"stall_share":1})");
+    setFaults(R"({"stall_share":1})");
     Caller first(context, target->port());
     first.send(http::verb::get, path);
     boost::system::error_code end;
@@ -158,7 +159,7 @@
     CHECK_EQUAL(500U, first.receiveBytes(500, end).size());
     CHECK_FALSE(end);
     CHECK_EQUAL(1, inFlight());
-    CHECK(first.hearsNothing());
+    CHECK(first.isOpenAndIdle());
     first.close();
     runUntil(context, [this] {
         return target->counters().cancelled == 1;
@@ -166,78 +167,81 @@
     CHECK_EQUAL(0, inFlight());
 }
 
-TEST(TargetFaults, AWrongBodyIsThatOfTheRequestBefore)
+TEST(TargetFaults, WrongBodyIsThatOfThePreviousRequest)
 {
     Caller caller(context, target->port());
-    const Response before = caller.call(http::verb::get, "/first", {}, "r1");
-    switchTo(R"({"wrong_body":true})");
-    const Response wrong = caller.call(http::verb::get, "/second", {}, "r2");
+    const Response previous = caller.sendAndReceive(http::verb::get, "/first", {}, "r1");
+    setFaults(R"({"wrong_body":true})");
+    const Response wrong = caller.sendAndReceive(http::verb::get, "/second", {}, "r2");
     CHECK_EQUAL(200, wrong.result_int());
     CHECK(wrong["X-Request-Id"] == "r1");
-    CHECK(wrong.body() == before.body());
+    CHECK(wrong.body() == previous.body());
 }
 
-TEST(TargetFaults, ConnectionsOpenNowGoSilentWhileNewOnesWork)
+TEST(TargetFaults, OpenConnectionsBecomeUnresponsiveWhileNewOnesWork)
 {
-    Caller old(context, target->port());
-    CHECK_EQUAL(200, old.call(http::verb::get, "/read").result_int());
-    switchTo(R"({"silent_connections":true})");
-    old.send(http::verb::post, "/bookings", "{}", "b1");
-    CHECK_EQUAL(200, Caller(context, target->port()).call(http::verb::get, "/read").result_int());
+    Caller openConnection(context, target->port());
+    CHECK_EQUAL(200, openConnection.sendAndReceive(http::verb::get, "/read").result_int());
+    setFaults(R"({"silent_connections":true})");
+    openConnection.send(http::verb::post, "/bookings", "{}", "b1");
+    CHECK_EQUAL(200, Caller(context, target->port()).sendAndReceive(http::verb::get, "/read").result_int());
     CHECK_EQUAL(0, runs("b1"));
-    CHECK(old.hearsNothing());
+    CHECK(openConnection.isOpenAndIdle());
 }
 
-TEST(TargetFaults, NewConnectionsAreClosedOnceAcceptedWhileOpenOnesWork)
+TEST(TargetFaults, NewConnectionsAreClosedAfterAcceptWhileOpenOnesWork)
 {
-    Caller old(context, target->port());
-    CHECK_EQUAL(200, old.call(http::verb::post, "/-/faults", R"({"refuse_after_accept":true})").result_int());
-    CHECK_EQUAL(0, Caller(context, target->port()).call(http::verb::get, "/read").result_int());
-    CHECK_EQUAL(200, old.call(http::verb::get, "/read").result_int());
+    Caller openConnection(context, target->port());
+    CHECK_EQUAL(
+        200,
+        openConnection.sendAndReceive(http::verb::post, "/-/faults", R"({"refuse_after_accept":true})").result_int());
+    CHECK_EQUAL(0, Caller(context, target->port()).sendAndReceive(http::verb::get, "/read").result_int());
+    CHECK_EQUAL(200, openConnection.sendAndReceive(http::verb::get, "/read").result_int());
 }
 
-TEST(TargetFaults, HealthAndLoadLieOnlyWhenToldTo)
+TEST(TargetFaults, HealthAndLoadAreFalsifiedOnlyWhileSwitchedOn)
 {
     Caller holder(context, target->port());
-    switchTo(R"({"hold":true})");
+    setFaults(R"({"hold":true})");
     holder.send(http::verb::get, "/read");
-    untilStarted(1);
-    CHECK_EQUAL(1, counter(context, target->port(), "/-/load", "in_flight"));
-    switchTo(R"({"lie_load":true,"lie_health":true,"error_share":1})");
-    CHECK_EQUAL(0, counter(context, target->port(), "/-/load", "in_flight"));
-    Caller(context, target->port()).call(http::verb::post, "/-/drain");
+    runUntilStarted(1);
+    CHECK_EQUAL(1, fetchCounter(context, target->port(), "/-/load", "in_flight"));
+    setFaults(R"({"lie_load":true,"lie_health":true,"error_share":1})");
+    CHECK_EQUAL(0, fetchCounter(context, target->port(), "/-/load", "in_flight"));
+    Caller(context, target->port()).sendAndReceive(http::verb::post, "/-/drain");
     Caller prober(context, target->port());
-    CHECK_EQUAL(R"({"state":"ok"})", prober.call(http::verb::get, "/-/health").body());
-    switchTo(R"({"lie_health":false,"hold":false})");
-    const Response honest = prober.call(http::verb::get, "/-/health");
-    CHECK_EQUAL(500, honest.result_int());
-    CHECK_EQUAL(R"({"state":"leaving"})", honest.body());
+    CHECK_EQUAL(R"({"state":"ok"})", prober.sendAndReceive(http::verb::get, "/-/health").body());
+    setFaults(R"({"lie_health":false,"hold":false})");
+    const Response actual = prober.sendAndReceive(http::verb::get, "/-/health");
+    CHECK_EQUAL(500, actual.result_int());
+    CHECK_EQUAL(R"({"state":"leaving"})", actual.body());
 }
 
 TEST_GROUP(TargetFaultValues) {};
 
-TEST(TargetFaultValues, FlappingFaultsHoldInEverySecondTurn)
+TEST(TargetFaultValues, FlappingFaultsAreActiveInEverySecondPeriod)
 {
-    CHECK_TRUE(rc::check("faults hold in the turns 0, 2, 4, ... after they were switched, and not in the others", [] {
-        TargetFaults faults;
-        faults.hangShare = 1;
-        const auto length = *rc::gen::inRange(1, 5'000);
-        const auto turn = *rc::gen::inRange(0, 1'000);
-        const auto within = *rc::gen::inRange(0, length);
-        const auto since = std::chrono::milliseconds(turn * length + within);
-        RC_ASSERT(inForce(faults, since).hangShare == 1);
-        faults.flapMs = length;
-        RC_ASSERT(inForce(faults, since).hangShare == (turn % 2 == 0 ? 1 : 0));
-    }));
+    CHECK_TRUE(
+        rc::check("faults are active in the periods 0, 2, 4, ... from when they were set, and not in the others", [] {
+            TargetFaults faults;
+            faults.hangShare = 1;
+            const auto length = *rc::gen::inRange(1, 5'000);
+            const auto period = *rc::gen::inRange(0, 1'000);
+            const auto within = *rc::gen::inRange(0, length);
+            const auto since = std::chrono::milliseconds(period * length + within);
+            RC_ASSERT(activeFaults(faults, since).hangShare == 1);
+            faults.flapMs = length;
+            RC_ASSERT(activeFaults(faults, since).hangShare == (period % 2 == 0 ? 1 : 0));
+        }));
 }
 
-TEST(TargetFaultValues, SlownessAppliesToItsPathAlone)
+TEST(TargetFaultValues, SlownessAppliesToItsPathOnly)
 {
     TargetFaults faults;
     faults.slowFactor = 10;
     faults.slowMs = 3;
-    DOUBLES_EQUAL(53, slowed(faults, "/any", 5), 1e-9);
+    DOUBLES_EQUAL(53, slowedServiceTime(faults, "/any", 5), 1e-9);
     faults.slowPath = "/bookings";
-    DOUBLES_EQUAL(53, slowed(faults, "/bookings/7", 5), 1e-9);
-    DOUBLES_EQUAL(5, slowed(faults, "/any", 5), 1e-9);
+    DOUBLES_EQUAL(53, slowedServiceTime(faults, "/bookings/7", 5), 1e-9);
+    DOUBLES_EQUAL(5, slowedServiceTime(faults, "/any", 5), 1e-9);
 }
--- a/standin/testcaller.h
+++ b/standin/testcaller.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the stand-ins' tests share: a blocking caller over loopback, and bounded waiting.
+// Utilities for the tests of the stand-ins: a blocking HTTP client over loopback, and waits with a timeout.
 
 #include <memory>
 
@@ -15,26 +15,26 @@
 namespace standin
 {
 
-// Bounds what would otherwise wait for ever where a mechanism is missing. No test passes by waiting for it.
-constexpr auto GiveUpAfter = std::chrono::seconds(20);
+// Makes a test fail that would otherwise wait forever because of a defect. No test passes by reaching this timeout.
+constexpr auto TestTimeout = std::chrono::seconds(20);
 
 inline Instant fixedNow()
 {
     return Instant {};
 }
 
-// Runs the server's handlers until `reached` holds. Fails the test when nothing happens any more.
+// Runs the server's handlers until `condition` holds. Fails the test when no handler runs within TestTimeout.
 template<typename Condition>
-void runUntil(asio::io_context &context, Condition reached)
+void runUntil(asio::io_context &context, Condition condition)
 {
-    while (!reached()) {
-        if (context.run_one_for(GiveUpAfter) == 0) {
-            FAIL("nothing happens any more, and what the test waits for has not come");
+    while (!condition()) {
+        if (context.run_one_for(TestTimeout) == 0) {
+            FAIL("no handler ran within the timeout, and the awaited condition does not hold");
         }
     }
 }
 
-// A blocking connection to a server that runs on the same thread: polls the server while it waits.
+// A blocking client connection to a server on the same thread. Runs the server's handlers while it waits.
 class Caller
 {
 public:
@@ -57,10 +57,10 @@
         http::write(m_socket, request);
     }
 
-    // Returns the answer, or one with status 0 when the connection ended before it was whole.
+    // Returns the response, or one with status 0 when the connection ended before it was complete.
     Response receive()
     {
-        // Owned by the handler as well, which outlives this call where the test fails here.
+        // Shared with the handler, which outlives this function when the test fails in it.
         const auto read = std::make_shared<Read>();
         http::async_read(
             m_socket, m_buffer, read->response, [read](const boost::system::error_code &error, std::size_t) {
@@ -76,13 +76,16 @@
         return read->response;
     }
 
-    Response call(http::verb method, const std::string &path, const std::string &body = {}, const std::string &id = {})
+    Response sendAndReceive(http::verb method,
+                            const std::string &path,
+                            const std::string &body = {},
+                            const std::string &id = {})
     {
         send(method, path, body, id);
         return receive();
     }
 
-    // Reads `count` bytes, or fewer if the connection ends; `end` says how it did, and is no error if it didn't.
+    // Reads `count` bytes, or fewer if the connection ends. Sets `end` to the error that ended it, or to no error.
     std::string receiveBytes(std::size_t count, boost::system::error_code &end)
     {
         const auto read = std::make_shared<Read>();
@@ -100,8 +103,8 @@
         return read->bytes;
     }
 
-    // Returns true while the connection is open and nothing has come that wasn't read.
-    bool hearsNothing()
+    // Returns true when the connection is open and has no unread data.
+    bool isOpenAndIdle()
     {
         char byte = 0;
         boost::system::error_code error;
@@ -129,14 +132,14 @@
     beast::flat_buffer m_buffer;
 };
 
-inline boost::json::value jsonOf(const Response &response)
+inline boost::json::value parseJson(const Response &response)
 {
     return boost::json::parse(response.body());
 }
 
-inline std::uint64_t counter(asio::io_context &context, std::uint16_t port, const char *path, const char *name)
+inline std::uint64_t fetchCounter(asio::io_context &context, std::uint16_t port, const char *path, const char *name)
 {
-    const boost::json::value found = jsonOf(Caller(context, port).call(http::verb::get, path));
+    const boost::json::value found = parseJson(Caller(context, port).sendAndReceive(http::verb::get, path));
     const boost::json::value *value = found.as_object().if_contains(name);
     return value ? value->to_number<std::uint64_t>() : 0;
 }
--- a/standin/vmlist.cpp
+++ b/standin/vmlist.cpp
@@ -6,7 +6,7 @@
 #include <boost/json/object.hpp>
 #include <boost/json/parse.hpp>
 
-#include "switches.h"
+#include "jsonobjectreader.h"
 
 namespace standin
 {
@@ -31,22 +31,22 @@
     m_server.stop();
 }
 
-asio::awaitable<After> VmList::handle(Connection &connection)
+asio::awaitable<ConnectionAction> VmList::handle(Connection &connection)
 {
-    co_await connection.send(answer(connection.request()));
-    co_return After::KeepOpen;
+    co_await connection.send(respond(connection.request()));
+    co_return ConnectionAction::KeepOpen;
 }
 
-Response VmList::answer(const Request &request)
+Response VmList::respond(const Request &request)
 {
-    const std::string_view path = pathOf(request.target());
+    const std::string_view path = requestPath(request.target());
     const bool post = request.method() == http::verb::post;
     if (path == "/-/faults") {
-        return post ? switchFaults(request.body())
+        return post ? updateFaults(request.body())
                     : jsonResponse(http::status::ok, boost::json::object { { "outage", m_outage } });
     }
     if (path == "/-/vms" && post) {
-        return set(request.body());
+        return setList(request.body());
     }
     if (path != "/vms") {
         return errorResponse(http::status::not_found, "no such path");
@@ -54,27 +54,27 @@
     if (m_outage) {
         return errorResponse(http::status::service_unavailable, "unavailable");
     }
-    return jsonResponse(http::status::ok, shown());
+    return jsonResponse(http::status::ok, visibleList());
 }
 
-Response VmList::set(const std::string &body)
+Response VmList::setList(const std::string &body)
 {
     boost::system::error_code error;
     boost::json::value list = boost::json::parse(body, error);
     if (error || !list.is_object() || !list.as_object().contains("vms")) {
-        return errorResponse(http::status::bad_request, "an object with \"vms\" is needed");
+        return errorResponse(http::status::bad_request, "expected an object with \"vms\"");
     }
     m_versions.push_back({ m_clock() + m_settings.lag, list });
     return jsonResponse(http::status::ok, list);
 }
 
-Response VmList::switchFaults(const std::string &body)
+Response VmList::updateFaults(const std::string &body)
 {
     try {
-        Switches switches(body);
+        JsonObjectReader reader(body);
         bool outage = m_outage;
-        switches.take("outage", outage);
-        switches.finish();
+        reader.extract("outage", outage);
+        reader.rejectUnknown();
         m_outage = outage;
     } catch (const std::invalid_argument &refusal) {
         return errorResponse(http::status::bad_request, refusal.what());
@@ -82,10 +82,10 @@
     return jsonResponse(http::status::ok, boost::json::object { { "outage", m_outage } });
 }
 
-const boost::json::value &VmList::shown()
+const boost::json::value &VmList::visibleList()
 {
     const Instant now = m_clock();
-    while (m_versions.size() > 1 && m_versions[1].shownFrom <= now) {
+    while (m_versions.size() > 1 && m_versions[1].visibleFrom <= now) {
         m_versions.pop_front();
     }
     return m_versions.front().list;
--- a/standin/vmlist.h
+++ b/standin/vmlist.h
@@ -12,10 +12,10 @@
 struct VmListSettings {
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
-    std::chrono::milliseconds lag { 0 }; // from setting the list until it is shown
+    std::chrono::milliseconds lag { 0 }; // from an update of the list until it is visible
 };
 
-// The platform's list of live and leaving VMs over HTTP. What is shown lags behind what was set.
+// The platform's list of live and leaving VMs over HTTP. Updates become visible with a configurable lag.
 class VmList
 {
 public:
@@ -23,27 +23,27 @@
     VmList(const VmList &) = delete;
     VmList &operator=(const VmList &) = delete;
 
-    // Returns the port that was bound.
+    // Returns the bound port.
     std::uint16_t port() const;
 
-    // Ends the service; see HttpServer.
+    // Stops the service; see HttpServer.
     void stop();
 
 private:
     struct Version {
-        Instant shownFrom;
+        Instant visibleFrom;
         boost::json::value list;
     };
 
-    asio::awaitable<After> handle(Connection &connection);
-    Response answer(const Request &request);
-    Response set(const std::string &body);
-    Response switchFaults(const std::string &body);
-    const boost::json::value &shown();
+    asio::awaitable<ConnectionAction> handle(Connection &connection);
+    Response respond(const Request &request);
+    Response setList(const std::string &body);
+    Response updateFaults(const std::string &body);
+    const boost::json::value &visibleList();
 
     VmListSettings m_settings;
     Clock m_clock;
-    std::deque<Version> m_versions; // in order of time; the first is shown
+    std::deque<Version> m_versions; // in chronological order; the first is visible
     bool m_outage = false;
     HttpServer m_server;
 };
