--- a/standin/commandline.cpp
+++ b/standin/commandline.cpp
@@ -27,7 +27,7 @@
     const auto parsed = std::from_chars(text.data(), end, number);
     if (parsed.ec != std::errc {} || parsed.ptr != end || number < minimum || number > maximum) {
         std::ostringstream allowed;
-        allowed << "allowed is a number from " << minimum << " to " << maximum;
+        allowed << "must be a number from " << minimum << " to " << maximum;
         throw UsageError(allowed.str());
     }
     return number;
@@ -126,7 +126,7 @@
         std::cout << std::left << std::setw(HelpColumn) << left << flag.help << "\n";
     }
     std::cout << std::left << std::setw(HelpColumn) << "  --help"
-              << "print this\n";
+              << "print this help and exit\n";
 }
 
 Address parseAddress(const std::string &text)
@@ -135,7 +135,7 @@
     boost::system::error_code error;
     const auto ip = boost::asio::ip::make_address(text.substr(0, colon), error);
     if (colon == std::string::npos || error) {
-        throw UsageError("allowed is IP:PORT, such as 127.0.0.1:21001");
+        throw UsageError("must be IP:PORT, such as 127.0.0.1:21001");
     }
     return { ip.to_string(), parseNumber<unsigned short>(text.substr(colon + 1), 0, 65535) };
 }
--- a/standin/download.cpp
+++ b/standin/download.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view DownloadPrefix = "/download/";
 constexpr std::string_view BytesUnit = "bytes=";
-// A prime, so that the content doesn't repeat in step with any power of two that a reader may use as its chunk.
+// A prime, so that the period of the content differs from any chunk size of a reader, which is usually a power of two.
 constexpr std::size_t PatternBytes = 65'521;
 constexpr unsigned PatternSeed = 7;
 
--- a/standin/httpserver.cpp
+++ b/standin/httpserver.cpp
@@ -97,7 +97,8 @@
 asio::awaitable<bool> Connection::waitFor(asio::steady_timer &timer)
 {
     using namespace asio::experimental::awaitable_operators;
-    // A silent connection stands for a path that lost its packets, so a close by the other end isn't seen either.
+    // An unresponsive connection simulates a network path that drops all packets, so a close by the peer isn't
+    // detected either.
     if (m_unresponsive) {
         co_await timer.async_wait(Awaitable);
         co_return true;
@@ -109,7 +110,7 @@
     if (closedByPeer()) {
         co_return false;
     }
-    // The other end sent its next request early; only the timer is left to wait for.
+    // The peer pipelined its next request, so the socket stays readable; wait for the timer only.
     co_await timer.async_wait(Awaitable);
     co_return m_socket.is_open();
 }
--- a/standin/jsonobjectreader.cpp
+++ b/standin/jsonobjectreader.cpp
@@ -12,7 +12,7 @@
     boost::system::error_code error;
     const boost::json::value parsed = boost::json::parse(text, error);
     if (error || !parsed.is_object()) {
-        throw std::invalid_argument("a JSON object is needed");
+        throw std::invalid_argument("expected a JSON object");
     }
     m_object = parsed.as_object();
 }
@@ -65,7 +65,7 @@
 void JsonObjectReader::rejectUnknown() const
 {
     if (!m_object.empty()) {
-        throw std::invalid_argument("unknown switch: " + std::string(m_object.begin()->key()));
+        throw std::invalid_argument("unknown field: " + std::string(m_object.begin()->key()));
     }
 }
 
--- a/standin/jsonobjectreader.h
+++ b/standin/jsonobjectreader.h
@@ -9,23 +9,24 @@
 namespace standin
 {
 
-// Reads the JSON object of a call that switches faults. Each extract… call hands out one member of the object and
-// removes it, so that what is left over at the end was misspelt and can be refused by name.
+// Reads the members of a JSON object, such as a request that changes faults. Each extract function removes the member
+// that it returns. Members that remain are unknown or misspelled, and rejectUnknown() reports them. Thread-compatible.
 class JsonObjectReader
 {
 public:
-    // Throws std::invalid_argument when `text` is no JSON object.
+    // Throws std::invalid_argument when `text` isn't a JSON object.
     explicit JsonObjectReader(const std::string &text);
 
-    // Stores the member named `name` in `value` if it is there. Throws std::invalid_argument for one of another type.
+    // Stores the member `name` in `value` if the object has it. Throws std::invalid_argument when it has another type.
     void extract(std::string_view name, bool &value);
     void extract(std::string_view name, double &value);
     void extract(std::string_view name, std::string &value);
 
-    // Returns a number that is at least 0, or nothing when it isn't there.
+    // Returns the member `name`, or nothing when the object doesn't have it. Throws std::invalid_argument when it isn't
+    // a number of at least 0.
     std::optional<double> extractNumber(std::string_view name);
 
-    // Throws std::invalid_argument naming a member that nobody took.
+    // Throws std::invalid_argument with the name of a member that was not extracted, if there is one.
     void rejectUnknown() const;
 
 private:
--- a/standin/loadgenerator.cpp
+++ b/standin/loadgenerator.cpp
@@ -21,7 +21,7 @@
 
 constexpr const char *NumberPlaceholder = "{n}";
 constexpr std::uint64_t MaxResponseBody = std::uint64_t { 1 } << 30;
-// A connection that can't be made is tried again after a timer, so that a closed port isn't hammered.
+// Delay between attempts to connect, which keeps a closed port from being flooded with attempts.
 constexpr auto ReconnectDelay = std::chrono::milliseconds(20);
 
 Duration fromMillis(double millis)
@@ -49,7 +49,7 @@
 
     asio::io_context &context;
     asio::ip::tcp::endpoint endpoint;
-    std::optional<beast::tcp_stream> stream; // none while not connected
+    std::optional<beast::tcp_stream> stream; // empty while not connected
     beast::flat_buffer buffer;
     LoadReport report;
 };
--- a/standin/logservice.cpp
+++ b/standin/logservice.cpp
@@ -140,7 +140,7 @@
         }
         page = m_store.read(stream, from, max, m_clock());
         if (page.next < from) {
-            // The log went back behind the reader; tell it now rather than when its wait ends.
+            // The log went back to an offset before the reader's. Respond at once instead of at the end of the wait.
             break;
         }
     }
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -24,7 +24,7 @@
 
 void printUsage(std::ostream &out)
 {
-    out << "Usage: mulberryplank-standin PROGRAM [FLAGS], PROGRAM --help for its flags\n";
+    out << "Usage: mulberryplank-standin PROGRAM [FLAGS]; PROGRAM --help lists its flags\n";
     for (const Program &program : Programs) {
         out << "  " << program.name << "\t" << program.purpose << "\n";
     }
--- a/standin/platformstore.cpp
+++ b/standin/platformstore.cpp
@@ -118,7 +118,7 @@
         co_return ConnectionAction::KeepOpen;
     }
     Topic &topic = m_topics[queryText(target, "topic")];
-    Response response = errorResponse(http::status::not_found, "no such call");
+    Response response = errorResponse(http::status::not_found, "no such path");
     if (path == AppendPath) {
         response = append(connection.request(), topic);
     } else if (path == ReadPath) {
--- a/standin/runcounts.cpp
+++ b/standin/runcounts.cpp
@@ -13,7 +13,7 @@
 constexpr const char *OperationIdHeaders[] = { "X-Request-Id", "Idempotency-Key", "X-Operation-Id" };
 constexpr const char *OperationIdMember = "operation_id";
 
-// Keeps a long benchmark with POST from filling the machine's memory; tests stay far below it.
+// Bounds the memory used by a long benchmark with POST. Tests stay far below this number.
 constexpr std::size_t MaxOperations = 1'000'000;
 
 std::string operationIdInBody(const std::string &body)
--- a/standin/slots.cpp
+++ b/standin/slots.cpp
@@ -22,7 +22,8 @@
     Waiter waiter(asio::steady_timer(m_context, deadline));
     m_queue.push_back(waiter);
     const bool open = co_await connection.waitFor(waiter.timer);
-    // A slot may be granted in the same turn in which the connection closes; nobody would give it back then.
+    // A slot may be granted in the same event loop iteration in which the connection closes. The caller only
+    // receives Closed and would never return that slot.
     if (!open && waiter.granted) {
         release();
     }
--- a/standin/standintest.cpp
+++ b/standin/standintest.cpp
@@ -1,5 +1,5 @@
-// What others rely on in the stand-ins, checked over loopback. Nothing here sleeps: time that decides is passed in, and
-// a request is kept in its slot by the switch "hold".
+// Tests of the behavior of the stand-ins on which other tests rely, over loopback. No test sleeps: the clock is
+// injected, and the fault "hold" keeps a request in its slot.
 #include <memory>
 
 #include <CppUTest/TestHarness.h>
@@ -26,7 +26,8 @@
     }
 };
 
-// Failure: a writer sees its connection end and doesn't know whether its record is in the log.
+// Guards against a stand-in that doesn't simulate an append of unknown outcome: the connection of the writer ends, and
+// the writer can't know whether its record is in the log.
 TEST(StandinLog, AppendTakesEffectWhenItsResponseIsLost)
 {
     Caller writer(context, service->port());
@@ -56,7 +57,7 @@
 
 TEST(StandinLogStore, RetentionLimitsCountAndAge)
 {
-    CHECK_TRUE(rc::check("records kept are those within count and age, with their own offsets", [] {
+    CHECK_TRUE(rc::check("the retained records are those within count and age, with their offsets", [] {
         const auto maxRecords = *rc::gen::inRange<std::size_t>(1, 20);
         const auto age = *rc::gen::inRange<int>(1, 30);
         const auto gaps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5));
@@ -86,7 +87,7 @@
 
 TEST(StandinDownload, RangeContinuesTheContentAtItsOffset)
 {
-    CHECK_TRUE(rc::check("the part up to any place and the range from there on give the whole", [] {
+    CHECK_TRUE(rc::check("a range from any offset selects the rest of the content, unless If-Range differs", [] {
         const auto size = *rc::gen::inRange<std::uint64_t>(1, 200'000);
         const auto at = *rc::gen::inRange<std::uint64_t>(0, size);
         const std::string range = "bytes=" + std::to_string(at) + "-";
@@ -164,7 +165,7 @@
     CHECK_EQUAL(0, fetchCounter(context, target->port(), "/-/runs", "b2"));
 }
 
-// Failure: a target's slots stay taken by requests whose callers have long gone.
+// Guards against slots that stay occupied by requests whose callers have disconnected.
 TEST(StandinTarget, ClosingTheConnectionFreesTheSlot)
 {
     setFaults(R"({"hold":true})");
--- a/standin/target.cpp
+++ b/standin/target.cpp
@@ -25,7 +25,7 @@
 constexpr double LogNormalSigma = 1.0;
 constexpr double ColdFactor = 5;
 constexpr std::uint64_t DownloadChunk = std::uint64_t { 64 } << 10;
-constexpr std::uint64_t MaxDeadlineMillis = 24ULL * 3600 * 1000; // more would overflow the clock
+constexpr std::uint64_t MaxDeadlineMillis = 24ULL * 3600 * 1000; // a larger deadline would overflow the clock
 
 std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
@@ -34,7 +34,7 @@
     return !text.empty() && parsed.ec == std::errc {} ? std::optional(number) : std::nullopt;
 }
 
-// Gives a slot back when a request leaves it, whichever way that happens.
+// Releases a slot at the end of its scope, however the request ends.
 class SlotGuard
 {
 public:
@@ -257,7 +257,7 @@
 ConnectionAction Target::finished(bool delivered)
 {
     ++(delivered ? m_counters.finished : m_counters.cancelled);
-    // A target that leaves ends each connection with the respond on it.
+    // A draining target closes each connection when a response has been sent on it.
     return delivered && !m_leaving ? ConnectionAction::KeepOpen : ConnectionAction::Close;
 }
 
@@ -352,7 +352,7 @@
     m_faultsAt = m_clock();
     m_server.refuseAfterAccept(m_faults.refuseAfterAccept);
     if (makeUnresponsive) {
-        // Whoever reader this gets the respond that says so.
+        // The connection of this request is excepted, so that the client gets the response to it.
         m_server.makeOpenConnectionsUnresponsive(connection);
     }
     if (!m_faults.hold) {
--- a/standin/target.h
+++ b/standin/target.h
@@ -13,38 +13,39 @@
 namespace standin
 {
 
-// How the time that a request takes is distributed about its mean.
+// The distribution of the service time of requests around its mean.
 enum class ServiceTime : std::uint8_t {
     Fixed,
-    LogNormal, // heavy-tailed: about one request in a hundred takes six times the mean
+    LogNormal, // heavy-tailed: about 1 request in 100 takes six times the mean
 };
 
 struct TargetSettings {
-    std::string name; // "target-PORT" unless given
+    std::string name; // "target-PORT" by default
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
     std::size_t slots = 4; // 0: unlimited
-    std::size_t queue = 4; // requests that may wait for a slot; more are shed
+    std::size_t queue = 4; // maximum number of requests that wait for a slot; further requests are shed
     double serviceMs = 0; // mean
     ServiceTime distribution = ServiceTime::Fixed;
-    double probeMs = 0; // what answering the health endpoint takes of a slot
-    std::chrono::milliseconds cold { 0 }; // from the start on; everything takes longer meanwhile
+    double probeMs = 0; // time for which a request for the health endpoint occupies a slot
+    std::chrono::milliseconds cold { 0 }; // time from the start during which all requests take longer
     std::uint64_t seed = 1;
     std::size_t maxBody = std::size_t { 64 } << 20;
 };
 
-// What a target did so far.
+// The counters of a target since its start.
 struct TargetCounters {
-    std::uint64_t started = 0; // got a slot and began to run
-    std::uint64_t finished = 0; // answered in full
-    std::uint64_t cancelled = 0; // the connection closed before the respond was out, before or after the start
-    std::uint64_t shed = 0; // 503, not run
-    std::uint64_t late = 0; // 504, not run: no slot before the deadline
+    std::uint64_t started = 0; // requests that got a slot and started to run
+    std::uint64_t finished = 0; // requests with a complete response
+    std::uint64_t cancelled =
+        0; // the connection closed before the response was sent, before or after the request started
+    std::uint64_t shed = 0; // rejected with 503, not run
+    std::uint64_t late = 0; // rejected with 504, not run: no slot was free before the deadline
     std::uint64_t startedWhileLeaving = 0;
-    std::uint64_t probes = 0; // calls of the health endpoint
+    std::uint64_t probes = 0; // requests for the health endpoint
 };
 
-// A target of a service, as docs/PLATFORM.md describes it, with faults that can be switched over HTTP while it runs.
+// A target of a service, as described in docs/PLATFORM.md. Its faults can be changed over HTTP while it runs.
 class Target
 {
 public:
@@ -52,13 +53,13 @@
     Target(const Target &) = delete;
     Target &operator=(const Target &) = delete;
 
-    // Returns the port that was bound.
+    // Returns the bound port.
     std::uint16_t port() const;
 
-    // Returns what it did so far.
+    // Returns the counters since the start.
     const TargetCounters &counters() const;
 
-    // Ends it; see HttpServer.
+    // Stops the target; see HttpServer.
     void stop();
 
 private:
@@ -66,7 +67,7 @@
         std::string requestId;
         std::string body;
     };
-    // What befalls an respond, drawn once per request.
+    // How a response is sent or fails, drawn at random once per request.
     enum class Outcome : std::uint8_t {
         Whole,
         Error,
--- a/standin/targetfaults.cpp
+++ b/standin/targetfaults.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// The reader by name, one table per type, so that reading and showing them can't differ.
+// The names of the fields, one table per type. Both applyFaults() and toJson() use them, so that they can't differ.
 struct NumberField {
     const char *name;
     double TargetFaults::*member;
--- a/standin/targetfaultstest.cpp
+++ b/standin/targetfaultstest.cpp
@@ -1,4 +1,5 @@
-// That each fault of a target does what docs/PLATFORM.md says, for tests that rely on it. Nothing here sleeps.
+// Tests that each fault of a target behaves as described in docs/PLATFORM.md, since other tests rely on it. No test
+// sleeps.
 #include <CppUTest/TestHarness.h>
 #include <rapidcheck.h>
 
@@ -11,9 +12,9 @@
 namespace
 {
 
-constexpr std::size_t MaxBytes = 4096; // more than any response here has
+constexpr std::size_t MaxBytes = 4096; // larger than any response in these tests
 
-// An response as it came, without judging it.
+// A response as received, without validation.
 struct RawResponse {
     std::string head;
     std::string body;
@@ -220,17 +221,18 @@
 
 TEST(TargetFaultValues, FlappingFaultsAreActiveInEverySecondPeriod)
 {
-    CHECK_TRUE(rc::check("faults hold in the turns 0, 2, 4, ... after they were switched, and not in the others", [] {
-        TargetFaults faults;
-        faults.hangShare = 1;
-        const auto length = *rc::gen::inRange(1, 5'000);
-        const auto period = *rc::gen::inRange(0, 1'000);
-        const auto within = *rc::gen::inRange(0, length);
-        const auto since = std::chrono::milliseconds(period * length + within);
-        RC_ASSERT(activeFaults(faults, since).hangShare == 1);
-        faults.flapMs = length;
-        RC_ASSERT(activeFaults(faults, since).hangShare == (period % 2 == 0 ? 1 : 0));
-    }));
+    CHECK_TRUE(
+        rc::check("faults are active in the periods 0, 2, 4, ... from when they were set, and not in the others", [] {
+            TargetFaults faults;
+            faults.hangShare = 1;
+            const auto length = *rc::gen::inRange(1, 5'000);
+            const auto period = *rc::gen::inRange(0, 1'000);
+            const auto within = *rc::gen::inRange(0, length);
+            const auto since = std::chrono::milliseconds(period * length + within);
+            RC_ASSERT(activeFaults(faults, since).hangShare == 1);
+            faults.flapMs = length;
+            RC_ASSERT(activeFaults(faults, since).hangShare == (period % 2 == 0 ? 1 : 0));
+        }));
 }
 
 TEST(TargetFaultValues, SlownessAppliesToItsPathOnly)
--- a/standin/vmlist.cpp
+++ b/standin/vmlist.cpp
@@ -62,7 +62,7 @@
     boost::system::error_code error;
     boost::json::value list = boost::json::parse(body, error);
     if (error || !list.is_object() || !list.as_object().contains("vms")) {
-        return errorResponse(http::status::bad_request, "an object with \"vms\" is needed");
+        return errorResponse(http::status::bad_request, "expected an object with \"vms\"");
     }
     m_versions.push_back({ m_clock() + m_settings.lag, list });
     return jsonResponse(http::status::ok, list);
--- a/standin/vmlist.h
+++ b/standin/vmlist.h
@@ -12,10 +12,10 @@
 struct VmListSettings {
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
-    std::chrono::milliseconds lag { 0 }; // from setting the list until it is visibleList
+    std::chrono::milliseconds lag { 0 }; // from an update of the list until it is visible
 };
 
-// The platform's list of live and leaving VMs over HTTP. What is visibleList lags behind what was setList.
+// The platform's list of live and leaving VMs over HTTP. Updates become visible with a configurable lag.
 class VmList
 {
 public:
@@ -23,10 +23,10 @@
     VmList(const VmList &) = delete;
     VmList &operator=(const VmList &) = delete;
 
-    // Returns the port that was bound.
+    // Returns the bound port.
     std::uint16_t port() const;
 
-    // Ends the service; see HttpServer.
+    // Stops the service; see HttpServer.
     void stop();
 
 private:
@@ -43,7 +43,7 @@
 
     VmListSettings m_settings;
     Clock m_clock;
-    std::deque<Version> m_versions; // in order of time; the first is visibleList
+    std::deque<Version> m_versions; // in chronological order; the first is visible
     bool m_outage = false;
     HttpServer m_server;
 };
