--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -13,7 +13,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/json.hpp>
 
-#include "../src/app/carriedservices.h"
+#include "../src/app/assignedservices.h"
 #include "mulberryplank/policy/membership.h"
 #include "mulberryplank/policy/pollerchoice.h"
 #include "plansize.h"
@@ -59,7 +59,7 @@
         kept = kept + pollerRank(self, members, 2).value_or(0);
     });
     const double place = microseconds(Repeats, [&] {
-        kept = kept + carriers(serviceName(0), members, placement, typical).size();
+        kept = kept + assignedProxies(serviceName(0), members, placement, typical).size();
     });
     return {
         { "members", size }, { "copy_us", copy }, { "poller_rank_us", pollers }, { "carriers_of_one_service_us", place }
@@ -103,8 +103,8 @@
         const double empty = heapBytes();
         fill();
         const double table = heapBytes() - empty;
-        const auto onCarriers = [](const ServiceName &, const std::vector<CarrierPeer> &, bool, Instant) {};
-        CarriedServices carried(m_services, m_config, onCarriers, m_members.front(), m_placement, m_events);
+        const auto onCarriers = [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {};
+        AssignedServices carried(m_services, m_config, onCarriers, m_members.front(), m_placement, m_events);
         auto list = std::make_shared<const std::vector<Member>>(m_members);
         const auto update = [&] {
             carried.update(list, m_config.applied(), m_now);
--- a/bench/carrierreports.cpp
+++ b/bench/carrierreports.cpp
@@ -81,12 +81,12 @@
         }
         deliverAll(m_state->configure(serviceOf(0), targets, rows, m_now));
         m_services.put(serviceName(0), ServedService { m_state, nullptr });
-        std::vector<CarrierPeer> carriers;
+        std::vector<AssignedPeer> carriers;
         std::vector<PeerId> ids;
         for (std::size_t number = 1; number <= peers; ++number) {
             const Member member = memberOf(number);
             ids.push_back(PeerId { member.vm, member.incarnation });
-            carriers.push_back(CarrierPeer { ids.back(), m_receiver.advertised() });
+            carriers.push_back(AssignedPeer { ids.back(), m_receiver.advertised() });
         }
         m_state->setPeers(ids, m_now);
         m_exchange.setPeers(serviceName(0), carriers);
--- a/bench/healthmodel/judge.h
+++ b/bench/healthmodel/judge.h
@@ -46,7 +46,7 @@
     Judge &operator=(const Judge &) = delete;
 
     virtual void observe(const Attempt &attempt, Instant now) = 0;
-    virtual void outstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now) = 0;
+    virtual void observeOutstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now) = 0;
     virtual void tick(Instant now) = 0;
     virtual TargetPhase phase(TargetIndex target) const = 0;
     virtual double weight(TargetIndex target) const = 0;
@@ -87,9 +87,9 @@
         m_health.observe(mapped, now);
     }
 
-    void outstanding(TargetIndex place, Duration oldestAge, std::uint32_t waiting, Instant now) override
+    void observeOutstanding(TargetIndex place, Duration oldestAge, std::uint32_t waiting, Instant now) override
     {
-        m_health.outstanding(m_indices[place], oldestAge, now, waiting);
+        m_health.observeOutstanding(m_indices[place], oldestAge, now, waiting);
     }
 
     void tick(Instant now) override
@@ -157,7 +157,7 @@
         }
     }
 
-    void outstanding(TargetIndex, Duration, std::uint32_t, Instant) override
+    void observeOutstanding(TargetIndex, Duration, std::uint32_t, Instant) override
     {
     }
 
--- a/bench/healthmodel/world.h
+++ b/bench/healthmodel/world.h
@@ -82,7 +82,7 @@
                 proxy.shadows.push_back(makeJudge(kind, judge));
             }
             for (std::size_t target = 0; target < m_targets.size(); ++target) {
-                proxy.limits.emplace_back(mostInFlight(Slots, Proxies));
+                proxy.limits.emplace_back(maxInFlight(Slots, Proxies));
             }
             proxy.waiting.resize(m_targets.size());
             proxy.loads.resize(m_targets.size());
@@ -413,7 +413,7 @@
         const auto inFlight = static_cast<std::uint32_t>(waiting.size());
         waiting.erase(std::find(waiting.begin(), waiting.end(), request.start));
         const Duration latency = m_now - request.start;
-        proxy.limits[request.target].answered(inFlight, latency, Duration {});
+        proxy.limits[request.target].onResponse(inFlight, latency, Duration {});
         const bool lies = m_settings.fault.liesAboutLoad && target.sick;
         proxy.loads[request.target] = { lies ? 0 : target.busy, m_now };
         observe(proxy, { request.target, request.route, request.result, latency });
@@ -433,14 +433,14 @@
         for (std::uint32_t target = 0; target < m_targets.size(); ++target) {
             const std::vector<Duration> &waiting = proxy.waiting[target];
             if (waiting.empty()) {
-                proxy.judge->outstanding(target, Duration {}, 0, instant(m_now));
+                proxy.judge->observeOutstanding(target, Duration {}, 0, instant(m_now));
                 continue;
             }
             const Duration oldest = m_now - *std::min_element(waiting.begin(), waiting.end());
             const auto count = std::count_if(waiting.begin(), waiting.end(), [&](Duration start) {
                 return m_now - start >= oldest / 2;
             });
-            proxy.judge->outstanding(target, oldest, static_cast<std::uint32_t>(count), instant(m_now));
+            proxy.judge->observeOutstanding(target, oldest, static_cast<std::uint32_t>(count), instant(m_now));
         }
         proxy.judge->tick(instant(m_now));
         for (const auto &shadow : proxy.shadows) {
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -59,7 +59,7 @@
 std::set<std::string> byRendezvous(std::size_t service, const std::vector<Member> &members)
 {
     std::set<std::string> chosen;
-    for (const Member &member : carriers(serviceName(service), members, {})) {
+    for (const Member &member : assignedProxies(serviceName(service), members, {})) {
         chosen.insert(member.vm.value());
     }
     return chosen;
@@ -191,7 +191,8 @@
     const double applied = processorSeconds();
     std::size_t wrong = 0;
     for (std::size_t service = 0; service < Services; ++service) {
-        wrong += carriers(serviceName(service), members, {}) == index.carriersOf(serviceName(service)) ? 0 : 1;
+        wrong +=
+            assignedProxies(serviceName(service), members, {}) == index.assignedProxiesOf(serviceName(service)) ? 0 : 1;
     }
     const double scratch = processorSeconds() - applied;
     const double change = (followed - filled) / (2 * Replacements);
@@ -214,12 +215,12 @@
     constexpr double SlotsPerTarget = 4;
     const double peak = static_cast<double>(targets) * SlotsPerTarget * 1000 / millisPerRequest;
     const std::vector<Member> members = fleetOf(FleetSize);
-    const auto fixed = static_cast<double>(carriers(serviceName(0), members, settings, { targets }).size());
-    const auto wide = static_cast<double>(carriers(serviceName(0), members, settings, { targets, peak }).size());
-    const double overloadBefore = peak / fixed / settings.requestsPerCarrier;
-    const double overloadAfter = peak / wide / settings.requestsPerCarrier;
+    const auto fixed = static_cast<double>(assignedProxies(serviceName(0), members, settings, { targets }).size());
+    const auto wide = static_cast<double>(assignedProxies(serviceName(0), members, settings, { targets, peak }).size());
+    const double overloadBefore = peak / fixed / settings.requestsPerProxy;
+    const double overloadAfter = peak / wide / settings.requestsPerProxy;
     // Halfway through the lifetime half of the callers still know the old set only.
-    const double overloadHalfway = (0.5 * peak / fixed + 0.5 * peak / wide) / settings.requestsPerCarrier;
+    const double overloadHalfway = (0.5 * peak / fixed + 0.5 * peak / wide) / settings.requestsPerProxy;
     return { { "targets", targets },
              { "millis_per_request", millisPerRequest },
              { "peak_requests_per_second", peak },
--- a/bench/requestdecisions.cpp
+++ b/bench/requestdecisions.cpp
@@ -4,11 +4,11 @@
 
 #include <benchmark/benchmark.h>
 
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/atmostonceregistry.h"
 #include "mulberryplank/policy/calleridentity.h"
 #include "mulberryplank/policy/hedge.h"
-#include "mulberryplank/policy/onceregistry.h"
 #include "mulberryplank/policy/requestcheck.h"
+#include "mulberryplank/policy/requestplan.h"
 
 using namespace mulberryplank;
 
@@ -46,22 +46,22 @@
 void planOneAttempt(benchmark::State &state)
 {
     for ([[maybe_unused]] auto step : state) {
-        PlanSettings settings { .requestId = "0123456789abcdef-1f", .deadline = Deadline(Begin, Seconds(2)) };
+        RequestPlanSettings settings { .requestId = "0123456789abcdef-1f", .deadline = Deadline(Begin, Seconds(2)) };
         settings.idempotent = true;
         settings.hedgeDelay = Millis(20);
         RequestPlan plan(settings, [] {
             return true;
         });
         plan.start();
-        plan.onTarget(0, 3, true, Begin);
+        plan.onTargetSelected(0, 3, true, Begin);
         benchmark::DoNotOptimize(plan.onSending(0));
         benchmark::DoNotOptimize(plan.wakeAt());
-        AnswerHeader header;
+        ResponseSummary header;
         header.body.length = 900;
         header.requestId = plan.attemptRequestId(0);
         plan.onHeader(0, header, Begin);
         plan.onBody(0, 900);
-        benchmark::DoNotOptimize(plan.onPassedOn(0, Begin));
+        benchmark::DoNotOptimize(plan.onForwarded(0, Begin));
     }
 }
 
@@ -71,7 +71,7 @@
     std::int64_t latency = 0;
     for ([[maybe_unused]] auto step : state) {
         latency = (latency + 7'919) % 400'000;
-        hedge.onLatency(std::chrono::microseconds(latency));
+        hedge.recordLatency(std::chrono::microseconds(latency));
         benchmark::DoNotOptimize(hedge.delay());
     }
 }
@@ -79,25 +79,25 @@
 // One keyed request with a registry that is as full as it may get.
 void runOnce(benchmark::State &state)
 {
-    OnceSettings settings;
-    settings.mostKeysPerAccount = settings.mostKeys;
-    OnceRegistry registry(1, Begin, settings, [](Incarnation) {
+    AtMostOnceSettings settings;
+    settings.maxKeysPerAccount = settings.maxKeys;
+    AtMostOnceRegistry registry(1, Begin, settings, [](Incarnation) {
         return true;
     });
     const AccountName account("studio-17");
     const ServiceName service("ticketdesk");
-    const StoredAnswer answer { 201, { { "Content-Type", "application/json" } }, std::string(100, 'x') };
+    const StoredResponse answer { 201, { { "Content-Type", "application/json" } }, std::string(100, 'x') };
     std::uint64_t number = 0;
     Instant now = Begin;
     for ([[maybe_unused]] auto step : state) {
         // Time goes on so that as many keys expire as come in.
         now += std::chrono::milliseconds(7);
         const std::string key = toString(registry.token(now)) + "/" + std::to_string(number++);
-        const OnceDecision decision = registry.begin(account, service, key, number, now);
-        if (decision.kind != OnceDecisionKind::Run) {
+        const AtMostOnceDecision decision = registry.begin(account, service, key, number, now);
+        if (decision.kind != AtMostOnceDecisionKind::Run) {
             state.SkipWithError("no room: the benchmark measures refusals");
         }
-        registry.finishAnswered(account, key, answer);
+        registry.finishWithResponse(account, key, answer);
     }
     state.counters["keys"] = static_cast<double>(registry.size());
 }
--- a/include/mulberryplank/app/adminclient.h
+++ b/include/mulberryplank/app/adminclient.h
@@ -11,7 +11,7 @@
 {
 
 // What became of an accepted edit.
-struct EditReply {
+struct EditResponse {
     Offset offset = 0;
     std::vector<std::string> inForce; // VMs whose proxies have it in force
     std::vector<std::string> missing; // VMs whose proxies don't, or haven't said so
@@ -27,8 +27,8 @@
 class AdminClient
 {
 public:
-    // `pause` waits between attempts; tests pass one that doesn't.
-    AdminClient(AdminClientSettings settings, HttpExchange exchange, std::function<void(Millis)> pause);
+    // `sleepFor` waits between attempts; tests pass one that doesn't.
+    AdminClient(AdminClientSettings settings, HttpExchange exchange, std::function<void(Millis)> sleepFor);
     AdminClient(const AdminClient &) = delete;
     AdminClient &operator=(const AdminClient &) = delete;
 
@@ -40,14 +40,14 @@
     // repeated under the edit's id, of which the log's readers accept one, so it takes effect once. Errors: Conflict
     // or BadConfiguration when it was refused, PlatformUnavailable when it may or may not have been accepted, NotReady
     // when no proxy could be reached and nothing was sent.
-    Result<EditReply> submit(const Edit &edit, Millis wait);
+    Result<EditResponse> submit(const Edit &edit, Millis wait);
 
 private:
-    Result<HttpReply> attempt(const HttpCall &call);
+    Result<HttpResponse> attempt(const HttpRequest &request);
 
     AdminClientSettings m_settings;
     HttpExchange m_exchange;
-    std::function<void(Millis)> m_pause;
+    std::function<void(Millis)> m_sleepFor;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/command.h
+++ b/include/mulberryplank/app/command.h
@@ -17,7 +17,7 @@
     Refused = 1, // the fleet refused it or something is wrong; nothing was changed
     Usage = 2, // command line, settings or an input file are wrong; nothing was asked of the fleet
     Unavailable = 3, // the fleet or the platform can't be reached; a change may or may not have been accepted
-    NotEverywhere = 4, // accepted, but not in force on every proxy within the time given
+    PartlyInForce = 4, // accepted, but not in force on every proxy within the time given
 };
 
 // What a command gets from its surroundings.
@@ -28,7 +28,7 @@
     std::ostream &out;
     std::ostream &err;
     HttpExchange exchange;
-    std::function<void(Millis)> pause; // waits
+    std::function<void(Millis)> sleepFor; // waits
     std::function<std::string(std::size_t bytes)> randomBytes; // unpredictable, for secrets and the ids of edits
 };
 
--- a/include/mulberryplank/app/csvfile.h
+++ b/include/mulberryplank/app/csvfile.h
@@ -44,21 +44,21 @@
 };
 
 // What stands in an error in place of text that may be a secret.
-inline constexpr const char *WithheldText = "(withheld)";
+inline constexpr const char *RedactedText = "(withheld)";
 
 // Tells what is wrong with a file's heading, one line each, given the columns that may and must be there. `secret`
 // keeps the file's text out: a file without a heading has a secret in its first line.
-std::vector<std::string> headingProblems(const CsvFile &file,
-                                         const std::vector<std::string> &known,
-                                         const std::vector<std::string> &required,
-                                         bool secret);
+std::vector<std::string> findHeadingProblems(const CsvFile &file,
+                                             const std::vector<std::string> &known,
+                                             const std::vector<std::string> &required,
+                                             bool secret);
 
 // Returns "file line 3, column weight: 'x' is not allowed; allowed: 1 to 10000".
-std::string fieldProblem(const CsvFile &file,
-                         const CsvRecord &record,
-                         const std::string &heading,
-                         const std::string &value,
-                         const std::string &allowed);
+std::string formatFieldProblem(const CsvFile &file,
+                               const CsvRecord &record,
+                               const std::string &heading,
+                               const std::string &value,
+                               const std::string &allowed);
 
 // Returns lines as one text.
 std::string joinLines(const std::vector<std::string> &lines);
@@ -66,7 +66,7 @@
 // Returns the items that a file's records stand for. Errors: BadConfiguration with one line for each thing that is
 // wrong, naming file, line, column and value.
 template<typename Item>
-Result<std::vector<Item>> itemsOf(const CsvFile &file, const std::vector<CsvColumn<Item>> &columns)
+Result<std::vector<Item>> parseItems(const CsvFile &file, const std::vector<CsvColumn<Item>> &columns)
 {
     std::vector<std::string> known;
     std::vector<std::string> required;
@@ -79,7 +79,7 @@
     const bool secret = std::any_of(columns.begin(), columns.end(), [](const CsvColumn<Item> &column) {
         return column.secret;
     });
-    std::vector<std::string> problems = headingProblems(file, known, required, secret);
+    std::vector<std::string> problems = findHeadingProblems(file, known, required, secret);
     if (!problems.empty()) {
         return failure(ErrorKind::BadConfiguration, joinLines(problems));
     }
@@ -92,13 +92,13 @@
             });
             const std::string value = index < record.fields.size() ? record.fields[index] : "";
             if (!column->store(item, value)) {
-                const std::string shown = secret ? WithheldText : value;
-                problems.push_back(fieldProblem(file, record, column->heading, shown, column->allowed));
+                const std::string shown = secret ? RedactedText : value;
+                problems.push_back(formatFieldProblem(file, record, column->heading, shown, column->allowed));
             }
         }
         if (record.fields.size() > file.headings.size()) {
-            const std::string extra = secret ? WithheldText : record.fields[file.headings.size()];
-            problems.push_back(fieldProblem(file, record, "(none)", extra, "no more fields than headings"));
+            const std::string extra = secret ? RedactedText : record.fields[file.headings.size()];
+            problems.push_back(formatFieldProblem(file, record, "(none)", extra, "no more fields than headings"));
         }
         items.push_back(std::move(item));
     }
--- a/include/mulberryplank/app/httpexchange.h
+++ b/include/mulberryplank/app/httpexchange.h
@@ -11,24 +11,24 @@
 {
 
 // One HTTP request of the command line.
-struct HttpCall {
+struct HttpRequest {
     Endpoint to;
     std::string method; // "GET" or "POST"
     std::string path; // with the query
     std::string body;
-    std::string bearer; // the operator's key; empty: no Authorization header
+    std::string bearerToken; // the operator's key; empty: no Authorization header
     Duration timeout {};
 };
 
 // What was answered to it.
-struct HttpReply {
+struct HttpResponse {
     int status = 0;
     std::string body;
 };
 
 // Sends one request and waits for the whole answer. Errors: ConnectFailed when no byte of the request was sent,
 // TargetTimeout and TargetReset when it may or may not have taken effect.
-using HttpExchange = std::function<Result<HttpReply>(const HttpCall &call)>;
+using HttpExchange = std::function<Result<HttpResponse>(const HttpRequest &request)>;
 
 // Returns an exchange over a fresh TCP connection for each request.
 HttpExchange tcpExchange();
--- a/include/mulberryplank/app/itemcsv.h
+++ b/include/mulberryplank/app/itemcsv.h
@@ -16,7 +16,7 @@
 };
 
 // Each reads the items of a CSV file, whose columns are named in the page for operators. Versions are left at 0.
-// Errors: as for itemsOf(). Secrets are never part of an error.
+// Errors: as for parseItems(). Secrets are never part of an error.
 Result<std::vector<Account>> parseAccounts(const CsvFile &file);
 Result<std::vector<Service>> parseServices(const CsvFile &file);
 Result<std::vector<RouteLine>> parseRoutes(const CsvFile &file);
@@ -34,6 +34,6 @@
 inline constexpr const char *ItemNameAllowed = "1 to 64 letters, digits or ._-:@";
 
 // The least number of characters of an account's secret.
-inline constexpr std::size_t LeastSecretLength = 20;
+inline constexpr std::size_t MinSecretLength = 20;
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/linewriter.h
+++ b/include/mulberryplank/app/linewriter.h
@@ -12,7 +12,7 @@
 {
 
 // What stands before the number of dropped lines, on a line of its own.
-inline constexpr std::string_view LinesDroppedMark = "log-lines-dropped count=";
+inline constexpr std::string_view LinesDroppedPrefix = "log-lines-dropped count=";
 
 struct LineWriterSettings {
     std::size_t bufferBytes = 64 * 1024; // what the reader may be behind by
@@ -32,7 +32,7 @@
     LineRate(double perSecond, double burst);
 
     // Returns true if one more line may go through now.
-    [[nodiscard]] bool take(Instant now);
+    [[nodiscard]] bool tryAcquire(Instant now);
 
 private:
     const double m_perSecond;
@@ -69,7 +69,7 @@
     LineRate m_routine;
     LineRate m_important;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_told = 0; // of the dropped
+    std::uint64_t m_reportedDropped = 0; // of the dropped
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/options.h
+++ b/include/mulberryplank/app/options.h
@@ -31,17 +31,17 @@
 struct OptionInfo {
     std::string name; // "log-level" stands for --log-level and MULBERRYPLANK_LOG_LEVEL
     std::string placeholder; // what stands for the value in help texts; empty for a switch, which takes no value
-    std::optional<std::string> fallback; // the default; nothing: the option must be given
+    std::optional<std::string> defaultValue; // the default; nothing: the option must be given
     std::string allowed; // for people: which values are accepted
     std::string help; // for people: what the option does
     std::function<bool(const std::string &value)> accepts; // not asked about the default; empty: takes anything
 };
 
 // Returns "--log-level" for "log-level".
-std::string flagOf(const OptionInfo &option);
+std::string flagName(const OptionInfo &option);
 
 // Returns "MULBERRYPLANK_LOG_LEVEL" for "log-level". In the environment a switch is 1 or 0.
-std::string variableOf(const OptionInfo &option);
+std::string variableName(const OptionInfo &option);
 
 // One option's value as it stands after flags, environment and default were weighed.
 struct OptionValue {
@@ -79,10 +79,10 @@
 std::string describeOptions(const std::vector<OptionInfo> &options);
 
 // Returns the whole number that `text` is, or nothing if it is something else or lies outside of the range.
-std::optional<std::uint64_t> parseNumber(std::string_view text, std::uint64_t least, std::uint64_t most);
+std::optional<std::uint64_t> parseNumber(std::string_view text, std::uint64_t minimum, std::uint64_t maximum);
 
 // Returns the decimal number that `text` is, such as 0.25, or nothing if it is something else or lies outside of the
 // range.
-std::optional<double> parseDecimal(const std::string &text, double least, double most);
+std::optional<double> parseDecimal(const std::string &text, double minimum, double maximum);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/app/requeststory.h
+++ b/include/mulberryplank/app/requesttrace.h
@@ -14,7 +14,7 @@
 {
 
 // What a gateway went by at some moment, as its log tells: the latest line of each kind.
-struct LoggedBeliefs {
+struct LoggedState {
     std::optional<LogLine> routes; // routes-in-force
     std::optional<LogLine> targetList; // target-list-changed
     std::optional<LogLine> store; // platform-down or platform-back
@@ -24,10 +24,10 @@
 // Gathers what the logs of several gateways tell of one request, and tells it in order of time. Reads line by line and
 // keeps only what it needs, so logs may be of any size. Clocks of VMs may differ: between gateways the order is only as
 // good as they are.
-class RequestStory
+class RequestTrace
 {
 public:
-    explicit RequestStory(std::string request);
+    explicit RequestTrace(std::string request);
 
     // Takes in the next line of the log `source`, without its line break. Lines of one source come in order.
     void read(const std::string &source, std::string_view text);
@@ -42,15 +42,15 @@
     // What has been read of one log.
     struct Source {
         std::string gateway; // the VM's name; before the log has told it, the source's
-        LoggedBeliefs beliefs;
+        LoggedState state;
         std::uint64_t linesDropped = 0;
         bool running = false; // started, and not ended since
-        std::vector<std::string> unfinished; // times of starts after a process that didn't end by itself
+        std::vector<std::string> uncleanRestarts; // times of starts after a process that didn't end by itself
     };
     struct Step {
         std::string gateway;
         LogLine line;
-        LoggedBeliefs beliefs;
+        LoggedState state;
     };
     // Failed attempts at a target, of any request.
     struct TargetFailures {
@@ -58,9 +58,9 @@
         std::set<std::string> gateways;
     };
 
-    void noteBelief(Source &source, const LogLine &line);
-    void noteProcess(Source &source, const LogLine &line);
-    std::vector<Step> inOrder() const;
+    void recordState(Source &source, const LogLine &line);
+    void recordProcessState(Source &source, const LogLine &line);
+    std::vector<Step> sortedSteps() const;
     std::string notFoundText() const;
     std::string causeText(const std::vector<Step> &steps) const;
     std::string targetText(const Step &failed) const;
--- a/include/mulberryplank/net/adminserver.h
+++ b/include/mulberryplank/net/adminserver.h
@@ -23,14 +23,14 @@
     std::string body;
 };
 
-struct AdminAnswer {
+struct AdminResponse {
     int status = 200;
     std::string contentType = "application/json";
     std::string body;
 };
 
 // Returns the answer that stands for `error`.
-AdminAnswer adminError(const Error &error);
+AdminResponse adminErrorResponse(const Error &error);
 
 // Returns the number in the query's `name=NUMBER`, or `fallback`.
 std::uint64_t queryNumber(const std::string &query, const std::string &name, std::uint64_t fallback);
@@ -39,7 +39,7 @@
 class AdminServer
 {
 public:
-    using Handler = std::function<boost::asio::awaitable<AdminAnswer>(AdminRequest)>;
+    using Handler = std::function<boost::asio::awaitable<AdminResponse>(AdminRequest)>;
 
     // Requests need `Authorization: Bearer KEY` with one of `keys`, but for the paths in `openPaths`.
     AdminServer(boost::asio::io_context &context,
--- a/include/mulberryplank/net/turn.h
+++ b/include/mulberryplank/net/asyncmutex.h
@@ -10,24 +10,24 @@
 
 // Lets one coroutine at a time do something. Those that wait go on in no order. Belongs to the thread that runs the
 // io_context, which must outlive it.
-class Turn
+class AsyncMutex
 {
 public:
-    explicit Turn(boost::asio::io_context &context);
-    Turn(const Turn &) = delete;
-    Turn &operator=(const Turn &) = delete;
+    explicit AsyncMutex(boost::asio::io_context &context);
+    AsyncMutex(const AsyncMutex &) = delete;
+    AsyncMutex &operator=(const AsyncMutex &) = delete;
 
     // Waits until nobody has the turn, and takes it.
-    boost::asio::awaitable<void> take();
+    boost::asio::awaitable<void> lock();
 
     // Gives the turn back. Whoever took it must call this once.
-    void release();
+    void unlock();
 
-    bool isTaken() const;
+    bool isLocked() const;
 
 private:
-    bool m_taken = false;
-    Timer m_released; // cancelled with each release
+    bool m_locked = false;
+    Timer m_unlockTimer; // cancelled with each unlock
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/budgetmessages.h
+++ b/include/mulberryplank/net/budgetmessages.h
@@ -14,7 +14,7 @@
 // doesn't answer.
 struct BudgetMessage {
     ServiceName service;
-    std::uint64_t question = 0; // its number, as the process that asks counts
+    std::uint64_t requestNumber = 0; // its number, as the process that asks counts
 };
 
 std::string encode(const BudgetMessage &message);
--- a/include/mulberryplank/net/callercontext.h
+++ b/include/mulberryplank/net/callercontext.h
@@ -21,15 +21,18 @@
 struct CallerLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 1ULL << 30;
-    std::size_t bufferedBodyBytes = 16 * 1024; // bodies up to this size are read whole before the request is admitted
-    std::size_t keyedBodyBytes = 1024 * 1024; // the most for a request with an Idempotency-Key: its body is read whole
-    Duration headerTime = Seconds(10); // from a header's first byte to its last
-    Duration idleTime = Seconds(60); // between two requests
-    Duration bodyPause = Seconds(30); // between two pieces of a request's body
-    Duration writePause = Seconds(30); // for a caller to take a piece of an answer
-    Duration closePause = Seconds(2); // for a caller to stop sending after an answer that closes its connection
-    Duration connectTime = Seconds(1); // for a target to take a connection
-    Duration silentTime = Seconds(1); // after which a reused connection without a byte of answer is taken as dead
+    std::size_t maxBufferedBodyBytes =
+        16 * 1024; // bodies up to this size are read whole before the request is admitted
+    std::size_t maxKeyedBodyBytes =
+        1024 * 1024; // the most for a request with an Idempotency-Key: its body is read whole
+    Duration headerTimeout = Seconds(10); // from a header's first byte to its last
+    Duration idleTimeout = Seconds(60); // between two requests
+    Duration bodyIdleTimeout = Seconds(30); // between two pieces of a request's body
+    Duration writeTimeout = Seconds(30); // for a caller to take a piece of an answer
+    Duration lingerTimeout = Seconds(2); // for a caller to stop sending after an answer that closes its connection
+    Duration connectTimeout = Seconds(1); // for a target to take a connection
+    Duration reusedConnectionTimeout =
+        Seconds(1); // after which a reused connection without a byte of answer is taken as dead
     std::size_t connections = 20'000; // in all
     std::size_t connectionsPerAccount = 4'000;
 };
@@ -50,7 +53,7 @@
     std::atomic<std::uint64_t> retries { 0 };
     std::atomic<std::uint64_t> hedges { 0 };
     std::atomic<std::uint64_t> resumes { 0 };
-    std::atomic<std::uint64_t> silentConnections { 0 }; // reused connections given up without a byte of answer
+    std::atomic<std::uint64_t> unresponsiveConnections { 0 }; // reused connections given up without a byte of answer
     std::atomic<std::uint64_t> bytesToCallers { 0 };
 };
 
@@ -71,7 +74,7 @@
     std::function<std::optional<Endpoint>(Incarnation)> memberAddress;
     // Called once per answered request, with the time from its arrival to the answer's last byte and how long of that
     // the targets took.
-    std::function<void(Duration total, Duration atTarget)> noteLatency;
+    std::function<void(Duration total, Duration timeAtTarget)> noteLatency;
 
     std::atomic<bool> ready { false }; // false: requests are refused with NotReady
     std::atomic<bool> closing { false }; // true: answers close their connection
--- a/include/mulberryplank/net/callersession.h
+++ b/include/mulberryplank/net/callersession.h
@@ -42,28 +42,28 @@
 
     DataAwaitable<bool> serveOne();
     DataAwaitable<Result<void>> readBody(Request &request, Instant deadline, bool keyed);
-    DataAwaitable<Result<void>> readWholeBody(Request &request, Instant deadline, std::size_t most);
+    DataAwaitable<Result<void>> readWholeBody(Request &request, Instant deadline, std::size_t maxSize);
     DataAwaitable<bool> refuse(const Request &request, const Error &error);
-    DataAwaitable<bool> answer(const Request &request, OwnAnswer answer);
+    DataAwaitable<bool> answer(const Request &request, LocalResponse answer);
     DataAwaitable<bool> relay(Request &request);
-    DataAwaitable<bool> relayOnce(Request &request, ExchangeRequest exchange, std::string key);
+    DataAwaitable<bool> relayAtMostOnce(Request &request, ExchangeRequest exchange, std::string key);
     DataAwaitable<bool> runExchange(Request &request, ExchangeRequest exchange);
-    DataAwaitable<bool> conclude(const Request &request, const ExchangeEnd &end);
-    DataAwaitable<bool> answerOnceDecision(const Request &request, const OnceDecision &decision);
+    DataAwaitable<bool> finishRequest(const Request &request, const ExchangeResult &end);
+    DataAwaitable<bool> respondToDecision(const Request &request, const AtMostOnceDecision &decision);
     DataAwaitable<bool> forwardToPeer(Request &request, ExchangeRequest exchange, Endpoint peer);
     DataAwaitable<bool> serveInternal(Request &request);
     Result<void> identify(Request &request);
-    Result<void> countFor(const AccountName &account);
+    Result<void> countConnection(const AccountName &account);
     Result<ExchangeRequest> prepare(Request &request);
     Result<void> splitTarget(Request &request) const;
 
     Worker &m_worker;
     CallerContext &m_context;
     HttpStream m_stream;
-    std::string m_provenAuthorization; // the last Authorization value that was found right
-    SecretDigest m_provenDigest {}; // and the digest that it was right for
+    std::string m_verifiedAuthorization; // the last Authorization value that was found right
+    SecretDigest m_verifiedDigest {}; // and the digest that it was right for
     AccountName m_countedAccount; // whose connection this is; empty: nobody has proven who it is
-    bool m_answered = false; // the last thing that happened was an answer
+    bool m_responded = false; // the last thing that happened was an answer
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/callerwatch.h
+++ b/include/mulberryplank/net/callerwatch.h
@@ -14,10 +14,10 @@
 class CallerWatch
 {
 public:
-    // `gone` is called at most once, from the stream's thread.
-    CallerWatch(HttpStream &caller, std::function<void()> gone);
+    // `onDisconnect` is called at most once, from the stream's thread.
+    CallerWatch(HttpStream &caller, std::function<void()> onDisconnect);
 
-    // Stops watching; `gone` isn't called any more.
+    // Stops watching; `onDisconnect` isn't called any more.
     ~CallerWatch();
     CallerWatch(const CallerWatch &) = delete;
     CallerWatch &operator=(const CallerWatch &) = delete;
--- a/include/mulberryplank/net/configmessages.h
+++ b/include/mulberryplank/net/configmessages.h
@@ -12,20 +12,20 @@
 {
 
 template<typename Archive>
-void serialize(Archive &archive, ConfigNews &news)
+void serialize(Archive &archive, ConfigUpdate &update)
 {
-    archive(news.from, news.before, news.records);
+    archive(update.from, update.before, update.records);
 }
 
 // A datagram: how far its sender is, and some records, if they fit.
 struct ConfigPush {
     Offset applied = 0;
-    ConfigNews news;
+    ConfigUpdate update;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(applied, news);
+        archive(applied, update);
     }
 };
 
@@ -41,16 +41,16 @@
 };
 
 // The answer: records that follow on the caller's, or a snapshot where they aren't kept any more, or neither.
-struct ConfigPullAnswer {
+struct ConfigPullResponse {
     Offset applied = 0;
     bool ready = false; // whether the one who answers has a configuration, if only an empty one
-    ConfigNews news;
+    ConfigUpdate update;
     std::string snapshot;
 
     template<typename Archive>
     void serialize(Archive &archive)
     {
-        archive(applied, ready, news, snapshot);
+        archive(applied, ready, update, snapshot);
     }
 };
 
--- a/include/mulberryplank/net/configsync.h
+++ b/include/mulberryplank/net/configsync.h
@@ -50,7 +50,7 @@
 // How ConfigSync reaches the log. Errors: PlatformUnavailable.
 struct LogAccess {
     std::function<boost::asio::awaitable<Result<LogPage>>(
-        std::string stream, Offset from, std::size_t most, Millis wait)>
+        std::string stream, Offset from, std::size_t maxRecords, Millis wait)>
         read;
     std::function<boost::asio::awaitable<Result<Offset>>(std::string stream, std::string record)> append;
 };
@@ -75,15 +75,15 @@
     struct Settings {
         VmName self;
         std::size_t pollersPerDomain = 2;
-        std::size_t pushFanout = 4; // peers that each proxy pushes news to
+        std::size_t pushFanout = 4; // peers that each proxy pushes update to
         std::size_t maxPush = 1'000; // bytes of records in a datagram
         std::size_t pageRecords = 64; // records read from the log at once
-        Millis pollWait { 2'000 }; // how long a read of the log waits for news
+        Millis pollWait { 2'000 }; // how long a read of the log waits for update
         Duration gossipInterval = Seconds(1);
-        Duration peerSilence = Seconds(5); // without news of peers for so long, a proxy reads the log itself
+        Duration peerTimeout = Seconds(5); // without update of peers for so long, a proxy reads the log itself
         Duration verifyInterval = Seconds(10); // how often it is checked that the log is still the same
         Duration snapshotCheckInterval = Seconds(5);
-        Duration retryPause = Millis(200); // between two tries to append an edit
+        Duration retryInterval = Millis(200); // between two tries to append an edit
         SnapshotSchedule::Settings snapshots;
         std::uint64_t seed = 1;
     };
@@ -125,8 +125,8 @@
 
     // The steps that start() repeats, for tests and for start().
 
-    // Reads the log to its end, waiting up to `wait` for news when it has been there already, and applies what follows
-    // on. Returns false if the log can't be reached or followed now.
+    // Reads the log to its end, waiting up to `wait` for update when it has been there already, and applies what
+    // follows on. Returns false if the log can't be reached or followed now.
     boost::asio::awaitable<bool> readLog(Millis wait);
 
     // Tells one random peer how far this proxy is.
@@ -154,11 +154,11 @@
     boost::asio::awaitable<Result<LogFinding>> fetch();
     boost::asio::awaitable<Result<LogFinding>> catchUp();
     boost::asio::awaitable<void> loadNewestSnapshot();
-    boost::asio::awaitable<Result<LogPage>> newestSnapshotRecords(std::size_t most);
+    boost::asio::awaitable<Result<LogPage>> newestSnapshotRecords(std::size_t maxRecords);
     boost::asio::awaitable<void> notePublishedSnapshots();
     boost::asio::awaitable<void> publishSnapshot();
     void noteLog(const Result<LogPage> &page);
-    void noteFinding(const LogJudgement &judgement);
+    void noteFinding(const LogCheckResult &judgement);
     boost::asio::awaitable<void> readBack(Offset appended, Instant deadline);
 
     // Peers' side.
@@ -166,21 +166,21 @@
     void pushTo(const Endpoint &peer, Offset from);
     Endpoint endpointOf(const PeerSender &sender) const;
     std::vector<Member> peers() const;
-    std::optional<Member> randomPeer(Offset least);
+    std::optional<Member> randomPeer(Offset minApplied);
     boost::asio::awaitable<void> pullFrom(Endpoint peer);
-    void noteHeard(Offset applied);
+    void notePeerProgress(Offset applied);
 
     // Both.
-    bool learn(const ConfigNews &news, std::string_view source);
-    void foundOtherLog(const std::string &detail);
+    bool applyUpdate(const ConfigUpdate &update, std::string_view source);
+    void reportDifferentLog(const std::string &detail);
     bool load(ConfigTable table, std::string_view source);
-    void enterForce(const std::string &detail);
+    void markInForce(const std::string &detail);
     void noteNewest(Offset newest);
     void noteProgress();
     boost::asio::awaitable<void> repeat(Duration interval, Step step);
     boost::asio::awaitable<void> gossipAndRepair();
     boost::asio::awaitable<void> pollLoop();
-    boost::asio::awaitable<void> pause(Duration duration);
+    boost::asio::awaitable<void> sleep(Duration duration);
     void spawn(boost::asio::awaitable<void> task);
 
     boost::asio::io_context &m_context;
@@ -202,16 +202,16 @@
     bool m_logTried = false;
     bool m_logWentBack = false;
     bool m_peersTried = false;
-    bool m_repairing = false;
+    bool m_pulling = false;
     LogPage m_logExtent; // without records
     Offset m_newest = 0;
-    std::optional<Offset> m_target; // the end of the log when it was first read: in force from there on
+    std::optional<Offset> m_firstLogEnd; // the end of the log when it was first read: in force from there on
     bool m_snapshotTried = false;
     bool m_snapshotMissing = false;
     Offset m_behindTarget = 0;
     std::optional<Instant> m_behindSince; // when m_behindTarget was heard of
     bool m_behindReported = false;
-    std::optional<Instant> m_lastHeard; // from a peer that is at least as far
+    std::optional<Instant> m_lastCurrentPeerAt; // from a peer that is at minApplied as far
     std::optional<Instant> m_lastVerified;
 };
 
--- a/include/mulberryplank/net/evidenceexchange.h
+++ b/include/mulberryplank/net/evidenceexchange.h
@@ -10,11 +10,11 @@
 {
 
 // Where a service's other carriers are reached.
-struct CarrierPeer {
+struct AssignedPeer {
     PeerId id;
     Endpoint endpoint;
 
-    auto operator<=>(const CarrierPeer &) const = default;
+    auto operator<=>(const AssignedPeer &) const = default;
 };
 
 // Exchanges evidence about targets with the other proxies that carry the same services. Runs on the thread of the
@@ -30,24 +30,24 @@
     void attach();
 
     // Sets the other proxies that carry a service.
-    void setPeers(const ServiceName &service, std::vector<CarrierPeer> peers, Instant now);
+    void setPeers(const ServiceName &service, std::vector<AssignedPeer> peers, Instant now);
 
     // Sends the reports that are due. To be called 10 times a second.
     void tick(Instant now);
 
 private:
-    struct Carried {
-        std::vector<CarrierPeer> peers;
+    struct AssignedService {
+        std::vector<AssignedPeer> peers;
         Instant nextReport {};
     };
 
     void receive(const PeerSender &sender, std::string_view payload);
-    void send(const ServedService &served, const Carried &carried, Instant now);
+    void send(const ServedService &served, const AssignedService &assigned, Instant now);
 
     ServiceRegistry &m_services;
     PeerTransport &m_transport;
     EventSink m_events;
-    std::map<ServiceName, Carried> m_carried;
+    std::map<ServiceName, AssignedService> m_assigned;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/exchange.h
+++ b/include/mulberryplank/net/exchange.h
@@ -12,7 +12,7 @@
 #include "mulberryplank/net/httpmessage.h"
 #include "mulberryplank/net/signal.h"
 #include "mulberryplank/net/worker.h"
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 namespace mulberryplank
 {
@@ -28,23 +28,23 @@
     Route route;
     std::string id;
     Deadline deadline { Instant {}, Duration {} };
-    bool deadlineIsCallers = false;
+    bool deadlineFromCaller = false;
     std::string body; // read so far
     bool bodyComplete = false;
     bool expectsContinue = false;
     bool keepAlive = true;
-    std::size_t storeAnswerUpTo = 0; // 0: the answer is not kept
+    std::size_t maxStoredResponseBytes = 0; // 0: the answer is not kept
     bool outlivesCaller = false; // the answer is wanted also when the caller has gone
     Instant arrived {};
 };
 
 // How an exchange ended.
-struct ExchangeEnd {
-    StepKind kind = StepKind::AbortCaller; // Finish, Answer or AbortCaller
-    Step step; // for Answer
-    std::optional<StoredAnswer> stored; // the whole answer, if asked for and small enough
+struct ExchangeResult {
+    StepKind kind = StepKind::AbortCaller; // Finish, Respond or AbortCaller
+    Step step; // for Respond
+    std::optional<StoredResponse> stored; // the whole answer, if asked for and small enough
     Outcome outcome = Outcome::Unknown;
-    bool callerGone = false;
+    bool callerDisconnected = false;
 };
 
 // Carries out what a RequestPlan decides: one request from its admission to the end of its answer. Runs on one worker;
@@ -57,8 +57,8 @@
     Exchange(const Exchange &) = delete;
     Exchange &operator=(const Exchange &) = delete;
 
-    // Runs the request. When the result is Answer, nothing has been written to the caller yet. To be called once.
-    DataAwaitable<ExchangeEnd> run();
+    // Runs the request. When the result is Respond, nothing has been written to the caller yet. To be called once.
+    DataAwaitable<ExchangeResult> run();
 
 private:
     struct AttemptState;
@@ -71,16 +71,16 @@
     void spawnAttempt(const Step &step);
     void armTimer();
     void cancelAttempt(const Step &step);
-    void settle(AttemptState &attempt, AttemptResult result);
-    void finishSource(bool reusable);
+    void releaseGrant(AttemptState &attempt, AttemptResult result);
+    void finishBodySource(bool reusable);
     AttemptState *find(AttemptNumber number);
     Duration timeAtTarget() const;
 
     // exchangewatch.cpp: whether the caller is still there
     void startWatch();
-    void noteCallerGone();
+    void handleCallerDisconnect();
     void stopWatch();
-    void watchFired();
+    void watchCaller();
 
     // exchangeattempt.cpp
     DataAwaitable<void> runAttempt(AttemptPtr attempt, Step step);
@@ -88,18 +88,18 @@
     DataAwaitable<bool> connect(AttemptPtr attempt, bool fresh);
     DataAwaitable<boost::system::error_code> send(AttemptPtr attempt, const Step &step);
     DataAwaitable<boost::system::error_code> sendRestOfBody(AttemptPtr attempt);
-    DataAwaitable<boost::system::error_code> readAnswerHeader(AttemptPtr attempt);
-    DataAwaitable<boost::system::error_code> pumpBody(AttemptPtr attempt);
-    void watchForAnswer(AttemptPtr attempt);
-    void watchForSilence(AttemptState &attempt);
-    void connectionSilent(AttemptState &attempt);
-    void failed(AttemptState &attempt, AttemptResult result);
+    DataAwaitable<boost::system::error_code> readResponseHeader(AttemptPtr attempt);
+    DataAwaitable<boost::system::error_code> forwardRequestBody(AttemptPtr attempt);
+    void watchForEarlyResponse(AttemptPtr attempt);
+    void armResponseTimer(AttemptState &attempt);
+    void onResponseTimeout(AttemptState &attempt);
+    void onAttemptFailed(AttemptState &attempt, AttemptResult result);
 
     // exchangebody.cpp
-    DataAwaitable<void> passOn();
-    DataAwaitable<void> passPiece(AttemptPtr source, BodyPiece piece);
+    DataAwaitable<void> forwardBody();
+    DataAwaitable<void> forwardPiece(AttemptPtr source, BodyPiece piece);
     DataAwaitable<bool> writeToCaller(std::string_view piece, bool last);
-    void beginAnswer(const AttemptState &source);
+    void beginResponse(const AttemptState &source);
     void store(std::string_view piece);
 
     Worker &m_worker;
@@ -111,20 +111,20 @@
     Signal m_signal;
     std::vector<AttemptPtr> m_attempts;
     std::optional<Step> m_pendingStart;
-    AttemptPtr m_source; // whose body is passed on
+    AttemptPtr m_bodySource; // whose body is passed on
     std::optional<Step> m_end;
     bool m_headRequest = false;
-    bool m_passing = false; // the answer's header is written or about to be
+    bool m_responseStarted = false; // the answer's header is written or about to be
     CallerFraming m_framing = CallerFraming::None;
     std::string m_unwritten; // the answer's header until the first piece of body is there
     std::vector<char> m_buffer;
-    std::optional<StoredAnswer> m_stored;
-    bool m_callerGone = false;
+    std::optional<StoredResponse> m_stored;
+    bool m_callerDisconnected = false;
     bool m_inAttempt = false; // run() is within an attempt and can't begin another
-    AttemptPtr m_readsCaller; // the attempt for which the caller's body is being read
+    AttemptPtr m_bodyReader; // the attempt for which the caller's body is being read
     bool m_watching = false; // a wait for the caller's socket is under way
-    std::uint64_t m_watchNumber = 0;
-    Duration m_atTarget {};
+    std::uint64_t m_watchGeneration = 0;
+    Duration m_timeAtTarget {};
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/forwardcontext.h
+++ b/include/mulberryplank/net/forwardcontext.h
@@ -9,7 +9,7 @@
 
 #include "mulberryplank/base/event.h"
 #include "mulberryplank/net/headercodec.h"
-#include "mulberryplank/net/newsmessages.h"
+#include "mulberryplank/net/updatemessages.h"
 #include "mulberryplank/net/worker.h"
 #include "mulberryplank/policy/budgetloan.h"
 #include "mulberryplank/policy/routetable.h"
@@ -35,8 +35,8 @@
     Duration connectTime = Millis(300);
     // Answers up to this size are read whole before a byte is passed on, so that one that breaks can be asked for
     // again.
-    std::size_t wholeAnswerBytes = 1024 * 1024;
-    Duration writePause = Seconds(30); // for a caller to take a piece of an answer
+    std::size_t maxBufferedResponseBytes = 1024 * 1024;
+    Duration writeTimeout = Seconds(30); // for a caller to take a piece of an answer
 };
 
 // Counts that the metrics show besides those of GatewayMetrics.
@@ -44,7 +44,7 @@
     std::uint64_t retries = 0;
     std::uint64_t hedges = 0;
     std::uint64_t connects = 0; // new connections to targets
-    std::uint64_t foreignAnswers = 0; // answers to another request, dropped
+    std::uint64_t mismatchedResponses = 0; // answers to another request, dropped
     std::uint64_t budgetRefused = 0;
     std::uint64_t budgetLent = 0;
     std::uint64_t budgetBorrowed = 0;
@@ -60,7 +60,7 @@
     // Tells the other gateways what was learnt of a target, from an attempt's end or its silence.
     std::function<void(const AttemptReport &)> share;
     // Asks another gateway for a part of the service's budget; what comes of it is there a few milliseconds later.
-    std::function<void(const ServiceName &)> askForBudget;
+    std::function<void(const ServiceName &)> requestBudget;
     ForwardCounters counters;
     GatewayMetrics metrics;
 };
--- a/include/mulberryplank/net/forwarder.h
+++ b/include/mulberryplank/net/forwarder.h
@@ -28,19 +28,19 @@
     Instant deadline {}; // the earlier of the caller's and the route's
 };
 
-// A target's answer. `rest` is set when the answer is too large to be held: what follows `body` is still to be read
-// from it.
-struct ForwardedAnswer {
+// A target's response. `bodyConnection` is set when the response is too large to be held: what follows `body` is still
+// to be read from it.
+struct ForwardedResponse {
     std::unique_ptr<ResponseParser> header;
     std::string body;
-    TargetConnectionPtr rest;
+    TargetConnectionPtr bodyConnection;
     TargetName target;
 };
 
-// How a request ended: with an answer, with an error of ours, or with neither because the caller has gone. An answer
-// together with an error is the target's own error, passed on for want of better.
-struct ForwardEnd {
-    std::optional<ForwardedAnswer> answer;
+// How a request ended: with an response, with an error of ours, or with neither because the caller has gone. An
+// response together with an error is the target's own error, passed on for want of better.
+struct ForwardResult {
+    std::optional<ForwardedResponse> response;
     std::optional<ErrorKind> error;
     Outcome outcome = Outcome::Unknown;
     std::uint32_t attempts = 0;
@@ -58,7 +58,7 @@
     Forwarder &operator=(const Forwarder &) = delete;
 
     // Runs the request. To be called once.
-    DataAwaitable<ForwardEnd> run();
+    DataAwaitable<ForwardResult> run();
 
 private:
     // Why an attempt is made.
@@ -73,13 +73,13 @@
 
     // forwarder.cpp: which attempts there are
     bool startAttempt(AttemptCause cause);
-    void judgeEnded();
-    void judge(AttemptState &attempt);
-    static ForwardedAnswer takeAnswer(AttemptState &attempt);
+    void handleEndedAttempts();
+    void handleResult(AttemptState &attempt);
+    static ForwardedResponse takeResponse(AttemptState &attempt);
     void cancelRunning();
-    void settle(AttemptState &attempt, AttemptResult result);
+    void recordOutcome(AttemptState &attempt, AttemptResult result);
     void share(const AttemptState &attempt, AttemptResult result, double logRatio);
-    void shareSilence(Instant now);
+    void shareMissingResponses(Instant now);
     bool hedgeIsDue(Instant now) const;
     void planHedge(Instant now);
     bool anyRunning() const;
@@ -93,7 +93,7 @@
     void startWriting(const AttemptPtr &attempt, std::string bytes);
     DataAwaitable<void> write(AttemptPtr attempt, std::string bytes);
     std::string requestBytes(const AttemptState &attempt) const;
-    DataAwaitable<AttemptResult> readAnswer(AttemptPtr attempt);
+    DataAwaitable<AttemptResult> readResponse(AttemptPtr attempt);
     DataAwaitable<boost::system::error_code> readHeader(AttemptPtr attempt);
     DataAwaitable<AttemptResult> readBody(AttemptPtr attempt);
     AttemptResult classify(const AttemptState &attempt) const;
@@ -107,11 +107,11 @@
     std::vector<AttemptPtr> m_attempts;
     std::vector<TargetName> m_tried;
     std::optional<Instant> m_hedgeAt;
-    Duration m_hedgeNeeds {}; // the least time for a hedge to be worth its budget
-    std::optional<ForwardedAnswer> m_answer;
-    std::optional<ForwardedAnswer> m_failureAnswer; // a target's own error, for want of better
+    Duration m_minHedgeTime {}; // the least time for a hedge to be worth its budget
+    std::optional<ForwardedResponse> m_response;
+    std::optional<ForwardedResponse> m_errorResponse; // a target's own error, for want of better
     bool m_headRequest = false;
-    bool m_callerGone = false;
+    bool m_callerDisconnected = false;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/gatewaysession.h
+++ b/include/mulberryplank/net/gatewaysession.h
@@ -17,14 +17,14 @@
     // Waits for routes while this process has just started and may have them in a moment.
     std::function<DataAwaitable<void>()> awaitRoutes;
     // Brings the list of targets up to date, where nobody has needed it for a while. False: it can't be had.
-    std::function<DataAwaitable<bool>()> needTargets;
+    std::function<DataAwaitable<bool>()> ensureTargets;
     bool draining = false; // answers end their connections
     bool closing = false; // new requests are refused
     std::uint64_t inFlight = 0; // requests under way
     std::uint64_t connections = 0; // of callers
     std::uint64_t connectionsRefused = 0; // beyond the bound
     std::uint64_t acceptErrors = 0;
-    std::size_t mostConnections = 2'000; // of callers; beyond it they are told to come back
+    std::size_t maxConnections = 2'000; // of callers; beyond it they are told to come back
 };
 
 // One connection from a caller: reads its requests one after the other and has each forwarded.
@@ -46,16 +46,16 @@
     DataAwaitable<Result<void>> readBody(Request &request);
     Result<ForwardRequest> prepare(Request &request);
     DataAwaitable<bool> forward(Request &request);
-    DataAwaitable<bool> passOn(Request &request, ForwardedAnswer answer);
-    DataAwaitable<bool> passRest(Request &request, ForwardedAnswer &answer);
+    DataAwaitable<bool> forwardResponse(Request &request, ForwardedResponse response);
+    DataAwaitable<bool> forwardRemainingBody(Request &request, ForwardedResponse &response);
     DataAwaitable<bool> refuse(const Request &request, const Error &error, Outcome outcome);
     std::string retryAfter(const Request &request) const;
-    void noteEnd(const Request &request, Outcome outcome, std::optional<ErrorKind> error);
-    void logEnd(const Request &request, const ForwardEnd &end);
+    void recordResult(const Request &request, Outcome outcome, std::optional<ErrorKind> error);
+    void logResult(const Request &request, const ForwardResult &end);
 
     GatewayContext &m_context;
     HttpStream m_stream;
-    bool m_answered = false; // the last thing that happened was an answer
+    bool m_responded = false; // the last thing that happened was an response
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/headercodec.h
+++ b/include/mulberryplank/net/headercodec.h
@@ -28,20 +28,20 @@
 };
 
 // What a target's answer says to the product, beyond HTTP.
-struct AnswerFields {
+struct ResponseFields {
     std::string attemptId; // of the request that it answers
     bool signedBody = false; // it bears the signature without which a success isn't one
     bool notRun = false; // the target did not run the request
     bool wrongTarget = false; // another target has the address
     std::optional<ReportedLoad> load;
-    std::optional<Duration> keptFor; // how long the target keeps the connection while it is idle
+    std::optional<Duration> keepAliveTimeout; // how long the target keeps the connection while it is idle
 };
 
 // Translates between header fields on the wire and what they mean. The functions decide nothing.
 struct HeaderCodec {
     std::function<CallerFields(const boost::beast::http::fields &)> readCaller;
     std::function<void(RequestHeader &, const TargetFields &)> writeTarget;
-    std::function<AnswerFields(const ResponseHeader &)> readAnswer;
+    std::function<ResponseFields(const ResponseHeader &)> readResponse;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/httpget.h
+++ b/include/mulberryplank/net/httpget.h
@@ -13,7 +13,7 @@
 {
 
 // The answer to a GET request of ours.
-struct HttpGetAnswer {
+struct HttpGetResponse {
     boost::system::error_code error; // set: there was no whole answer
     unsigned status = 0;
     std::string load; // X-Load
@@ -22,9 +22,9 @@
 };
 
 // Asks for a small page over a connection of its own. Takes at most `timeout`.
-boost::asio::awaitable<HttpGetAnswer> httpGet(boost::asio::io_context &context,
-                                              Endpoint server,
-                                              std::string path,
-                                              Duration timeout);
+boost::asio::awaitable<HttpGetResponse> httpGet(boost::asio::io_context &context,
+                                                Endpoint server,
+                                                std::string path,
+                                                Duration timeout);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/httpmessage.h
+++ b/include/mulberryplank/net/httpmessage.h
@@ -9,7 +9,7 @@
 
 #include "mulberryplank/base/errorkind.h"
 #include "mulberryplank/net/httpstream.h"
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 namespace mulberryplank
 {
@@ -28,10 +28,10 @@
 using FieldFilter = std::function<bool(std::string_view name, std::string_view connection)>;
 
 // Adds those fields of `from` to `to` that may be passed on.
-void copyFields(const boost::beast::http::fields &from, boost::beast::http::fields &to, const FieldFilter &isPassedOn);
+void copyFields(const boost::beast::http::fields &from, boost::beast::http::fields &to, const FieldFilter &isForwarded);
 
-// Returns the header of a target's answer with those of its fields that may be passed on.
-ResponseHeader passedOnHeader(const ResponseHeader &answer, const FieldFilter &isPassedOn);
+// Returns the header of a target's response with those of its fields that may be passed on.
+ResponseHeader forwardedHeader(const ResponseHeader &response, const FieldFilter &isForwarded);
 
 // What a request to a target says beyond the caller's own header.
 struct TargetRequest {
@@ -46,13 +46,13 @@
 // Returns the header to send to a target: the caller's end-to-end fields and ours.
 RequestHeader targetRequestHeader(const RequestParser &caller, const TargetRequest &request);
 
-// Returns what decisions need of a target's answer.
-AnswerHeader answerHeader(const ResponseParser &parser, bool headRequest);
+// Returns what decisions need of a target's response.
+ResponseSummary summarizeResponse(const ResponseParser &parser, bool headRequest);
 
-// Returns the X-Load of an answer: requests under way at the target.
+// Returns the X-Load of an response: requests under way at the target.
 std::optional<std::uint32_t> reportedLoad(const ResponseParser &parser);
 
-// How an answer's body is framed towards the caller.
+// How an response's body is framed towards the caller.
 enum class CallerFraming {
     None,
     Length,
@@ -60,26 +60,26 @@
     UntilClose,
 };
 
-// The answer that asks a caller for its request's body.
-inline constexpr std::string_view ContinueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
+// The response that asks a caller for its request's body.
+inline constexpr std::string_view ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
-// Returns the framing for an answer to a caller that speaks HTTP version 1.`minorVersion`.
-CallerFraming callerFraming(const AnswerHeader &answer, int minorVersion);
+// Returns the framing for an response to a caller that speaks HTTP version 1.`minorVersion`.
+CallerFraming callerFraming(const ResponseSummary &response, int minorVersion);
 
 // Returns the header to pass on to the caller.
-std::string callerAnswerHeader(const ResponseParser &target,
-                               CallerFraming framing,
-                               std::string_view requestId,
-                               bool keepAlive);
+std::string callerResponseHeader(const ResponseParser &target,
+                                 CallerFraming framing,
+                                 std::string_view requestId,
+                                 bool keepAlive);
 
-// Returns the fields of a target's answer that are given again with a kept body. Its framing isn't among them.
-std::vector<std::pair<std::string, std::string>> fieldsToKeep(const ResponseParser &target);
+// Returns the fields of a target's response that are given again with a kept body. Its framing isn't among them.
+std::vector<std::pair<std::string, std::string>> fieldsToStore(const ResponseParser &target);
 
 // Returns the bytes of one chunk of a chunked body, or of the last chunk when `piece` is empty.
 std::string chunkBytes(std::string_view piece);
 
-// A whole answer of our own.
-struct OwnAnswer {
+// A whole response of our own.
+struct LocalResponse {
     int status = 200;
     std::string body; // JSON
     Outcome outcome = Outcome::Answered;
@@ -87,11 +87,14 @@
     std::vector<std::pair<std::string, std::string>> fields;
 };
 
-// Returns the bytes of an answer of our own.
-std::string ownAnswerBytes(const OwnAnswer &answer, std::string_view requestId, bool keepAlive, bool headRequest);
+// Returns the bytes of an response of our own.
+std::string localResponseBytes(const LocalResponse &response,
+                               std::string_view requestId,
+                               bool keepAlive,
+                               bool headRequest);
 
-// Returns the answer for a failure. `outcome` is at least as strong as the table's claim for `kind`.
-OwnAnswer errorAnswerFor(
+// Returns the response for a failure. `outcome` is at least as strong as the table's claim for `kind`.
+LocalResponse errorResponseFor(
     ErrorKind kind, Outcome outcome, int retryAfterSeconds, std::string_view detail, std::string_view requestId);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/httpstream.h
+++ b/include/mulberryplank/net/httpstream.h
@@ -59,9 +59,9 @@
     DataAwaitable<BodyPiece> readBody(RequestParser &parser, boost::asio::mutable_buffer out);
     DataAwaitable<BodyPiece> readBody(ResponseParser &parser, boost::asio::mutable_buffer out);
 
-    // The same, for at most `most` bytes behind those that `body` holds already.
-    DataAwaitable<BodyPiece> appendBody(RequestParser &parser, std::string &body, std::size_t most);
-    DataAwaitable<BodyPiece> appendBody(ResponseParser &parser, std::string &body, std::size_t most);
+    // The same, for at maxSize `maxSize` bytes behind those that `body` holds already.
+    DataAwaitable<BodyPiece> appendBody(RequestParser &parser, std::string &body, std::size_t maxSize);
+    DataAwaitable<BodyPiece> appendBody(ResponseParser &parser, std::string &body, std::size_t maxSize);
 
     // Writes all of `data`.
     DataAwaitable<boost::system::error_code> write(boost::asio::const_buffer data);
@@ -95,14 +95,14 @@
     template<typename Parser>
     DataAwaitable<BodyPiece> readBodyOf(Parser &parser, boost::asio::mutable_buffer out);
     template<typename Parser>
-    DataAwaitable<BodyPiece> appendBodyOf(Parser &parser, std::string &body, std::size_t most);
+    DataAwaitable<BodyPiece> appendBodyOf(Parser &parser, std::string &body, std::size_t maxSize);
 
     DataSocket m_socket;
     TimerWheel &m_wheel;
     WheelTimer m_timer;
     boost::beast::flat_buffer m_buffer;
     bool m_timedOut = false;
-    bool m_staysOpen = false; // when the deadline passes
+    bool m_staysOpenOnTimeout = false; // when the deadline passes
 };
 
 // Sets what every data connection has: no delay of small writes, keepalive, and the longest that sent data may stay
--- a/include/mulberryplank/net/keyedstore.h
+++ b/include/mulberryplank/net/keyedstore.h
@@ -35,7 +35,7 @@
     std::vector<KeyedRecord> records;
     Offset next = 0; // of the first record that isn't among them
     std::size_t unreadable = 0; // records left out because they bear no key that can be read
-    bool historyGone = false; // the records asked for are no longer kept: only newest() tells the state
+    bool historyExpired = false; // the records asked for are no longer kept: only newest() tells the state
 };
 
 // The newest record of every key, as of `next` or later.
@@ -46,17 +46,17 @@
 };
 
 // Access to the platform's store. Errors of all calls: PlatformUnavailable when the store refused or gave no answer;
-// Conflict from append() when the topic has grown beyond `onlyAt`.
+// Conflict from append() when the topic has grown beyond `expectedEnd`.
 struct KeyedStore {
     template<typename T>
-    using Answer = boost::asio::awaitable<Result<T>>;
+    using Response = boost::asio::awaitable<Result<T>>;
 
     // Returns the records from `from` on; waits up to `wait` for one when there is none.
-    std::function<Answer<KeyedPage>(KeyedTopic, Offset from, Millis wait)> read;
-    std::function<Answer<KeyedSnapshot>(KeyedTopic)> newest;
-    // Appends records of the product's own, all or none; only where the topic ends if `onlyAt` is given. After
+    std::function<Response<KeyedPage>(KeyedTopic, Offset from, Millis wait)> read;
+    std::function<Response<KeyedSnapshot>(KeyedTopic)> newest;
+    // Appends records of the product's own, all or none; only where the topic ends if `expectedEnd` is given. After
     // PlatformUnavailable they may or may not have been appended.
-    std::function<Answer<void>(KeyedTopic, std::vector<KeyedRecord>, std::optional<Offset> onlyAt)> append;
+    std::function<Response<void>(KeyedTopic, std::vector<KeyedRecord>, std::optional<Offset> expectedEnd)> append;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/logclient.h
+++ b/include/mulberryplank/net/logclient.h
@@ -24,9 +24,9 @@
     LogClient(const LogClient &) = delete;
     LogClient &operator=(const LogClient &) = delete;
 
-    // Returns the records of `stream` from offset `from` on, at most `most`. Waits up to `wait` for a record to arrive
-    // when there is none. Errors: PlatformUnavailable.
-    boost::asio::awaitable<Result<LogPage>> read(std::string stream, Offset from, std::size_t most, Millis wait);
+    // Returns the records of `stream` from offset `from` on, at maxRecords `maxRecords`. Waits up to `wait` for a
+    // record to arrive when there is none. Errors: PlatformUnavailable.
+    boost::asio::awaitable<Result<LogPage>> read(std::string stream, Offset from, std::size_t maxRecords, Millis wait);
 
     // Appends a record and returns its offset. After PlatformUnavailable the record may or may not have been appended:
     // only reading it back tells.
@@ -38,7 +38,7 @@
 
     boost::asio::awaitable<Result<std::string>> exchange(Request request, Duration limit);
     boost::asio::awaitable<Result<std::string>> exchangeOn(Connection &connection, const Request &request);
-    std::unique_ptr<Connection> takeIdle();
+    std::unique_ptr<Connection> popIdle();
 
     boost::asio::io_context &m_context;
     Endpoint m_service;
--- a/include/mulberryplank/net/memberservice.h
+++ b/include/mulberryplank/net/memberservice.h
@@ -22,9 +22,10 @@
     Duration exchangeTimeout = Seconds(5);
     // The same while no other member is known: a seed may be gone without a sign, and others can be asked.
     Duration joinTimeout = Millis(600);
-    int joinsAtOnce = 3; // seeds that are asked beside each other then
-    std::function<void()> met; // called when a first other member is known, the list of members being published
-    Duration leaveSpread = Seconds(2); // how long announceLeave() waits for the news to spread
+    int maxParallelJoins = 3; // seeds that are asked beside each other then
+    std::function<void()>
+        onFirstMember; // called when a first other member is known, the list of members being published
+    Duration leavePropagationTime = Seconds(2); // how long announceLeave() waits for the news to spread
 };
 
 // Runs Membership over a PeerTransport: timer, datagrams, and exchanges of whole lists over TCP. Everything but the
--- a/include/mulberryplank/net/membershipcodec.h
+++ b/include/mulberryplank/net/membershipcodec.h
@@ -17,7 +17,7 @@
 std::string encode(const std::vector<MemberUpdate> &updates);
 Result<std::vector<MemberUpdate>> decodeMemberUpdates(std::string_view bytes);
 
-std::string encode(const MemberExchange &answer);
+std::string encode(const MemberExchange &exchange);
 Result<MemberExchange> decodeMemberExchange(std::string_view bytes);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/peerenvelope.h
+++ b/include/mulberryplank/net/peerenvelope.h
@@ -20,21 +20,21 @@
     ConfigPull = 3,
     Evidence = 4,
     Demand = 5,
-    OnceForward = 6,
+    AtMostOnceForward = 6,
     StatusQuery = 7,
     AttemptReports = 9,
-    BudgetQuestion = 11,
+    BudgetRequest = 11,
     BudgetLoan = 12,
-    NewsChanged = 14,
+    UpdateAvailable = 14,
     Membership = 15,
-    NewsQuery = 16,
+    UpdateQuery = 16,
 };
 
 // The way a message travels. It is signed, so that a message taken from one way can't be played back on another.
 enum class PeerChannel : std::uint8_t {
     Datagram = 1,
     Call = 2,
-    Answer = 3,
+    Response = 3,
 };
 
 // One message between proxies.
--- a/include/mulberryplank/net/peertransport.h
+++ b/include/mulberryplank/net/peertransport.h
@@ -36,7 +36,7 @@
     Endpoint advertised; // what peers address; `listen` if no host is given
     std::size_t maxConnections = 256; // calls being answered at the same time, strangers' included
     std::size_t maxBodies = 536'870'912; // bytes of the payloads of all calls being answered
-    Millis headTimeout { 2'000 }; // for a connection to show that it comes from a peer
+    Millis handshakeTimeout { 2'000 }; // for a connection to show that it comes from a peer
     Millis callTimeout { 60'000 }; // for a whole call being answered
     std::size_t maxSenders = 20'000; // whose sequence numbers are remembered
 };
@@ -69,11 +69,11 @@
     Result<void> send(const Endpoint &to, PeerKind kind, std::string_view payload);
 
     // Calls a peer over TCP and returns its answer, or what went wrong. Takes at most `timeout` until the answer
-    // begins, and `rest` for the rest of it, or both together if that is zero: with one limit, answers that grow with
-    // the fleet would be cut where nobody is gone, and asked for again. Errors: what the peer's handler answered;
-    // ConnectFailed if the handler has certainly not run; PeerLost if it may have.
+    // begins, and `bodyTimeout` for the bodyTimeout of it, or both together if that is zero: with one limit, answers
+    // that grow with the fleet would be cut where nobody is gone, and asked for again. Errors: what the peer's handler
+    // answered; ConnectFailed if the handler has certainly not run; PeerLost if it may have.
     boost::asio::awaitable<Result<std::string>> call(
-        Endpoint to, PeerKind kind, std::string payload, Duration timeout, Duration rest = {});
+        Endpoint to, PeerKind kind, std::string payload, Duration timeout, Duration bodyTimeout = {});
 
     // Replaces the fleet's keys: the first signs, all verify. A key is changed without a gap in two steps: every
     // process gets the new key as its second, then every process gets it as its first. Throws std::invalid_argument if
--- a/include/mulberryplank/net/prober.h
+++ b/include/mulberryplank/net/prober.h
@@ -23,20 +23,20 @@
     Prober &operator=(const Prober &) = delete;
 
     // Sets all proxies that carry a service, this one included; none forgets the service.
-    void setCarriers(const ServiceName &service, std::vector<PeerId> carriers);
+    void setAssignedProxies(const ServiceName &service, std::vector<PeerId> proxies);
 
     // Starts the probes that are due. To be called 10 times a second.
     void tick(Instant now);
 
 private:
     boost::asio::awaitable<void> probe(ServiceStatePtr service, TargetState target);
-    bool isMine(const std::vector<PeerId> &carriers, TargetId target, bool viewsDisagree) const;
+    bool isOwnProbe(const std::vector<PeerId> &proxies, TargetId target, bool viewsDisagree) const;
 
     boost::asio::io_context &m_context;
     ServiceRegistry &m_services;
     PeerId m_self;
     ProbePlan m_plan;
-    std::map<ServiceName, std::vector<PeerId>> m_carriers;
+    std::map<ServiceName, std::vector<PeerId>> m_assignedProxies;
     std::map<TargetId, Instant> m_nextProbe;
 };
 
--- a/include/mulberryplank/net/reportbatch.h
+++ b/include/mulberryplank/net/reportbatch.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "mulberryplank/base/time.h"
-#include "mulberryplank/net/newsmessages.h"
+#include "mulberryplank/net/updatemessages.h"
 
 namespace mulberryplank
 {
@@ -15,8 +15,8 @@
 class ReportBatch
 {
 public:
-    // `hold`: how long a report waits for others at most.
-    explicit ReportBatch(Duration hold);
+    // `maxDelay`: how long a report waits for others at most.
+    explicit ReportBatch(Duration maxDelay);
 
     // Takes a report, and returns those that have to be sent now: none, or all that are held as well.
     std::vector<AttemptReport> add(const AttemptReport &report, Instant now);
@@ -28,8 +28,8 @@
     std::vector<AttemptReport> take();
 
 private:
-    Duration m_hold;
-    std::vector<AttemptReport> m_held;
+    Duration m_maxDelay;
+    std::vector<AttemptReport> m_pending;
     Instant m_due {};
 };
 
--- a/include/mulberryplank/net/shareexchange.h
+++ b/include/mulberryplank/net/shareexchange.h
@@ -26,7 +26,7 @@
     void attach();
 
     // Sets the other proxies that carry a service.
-    void setPeers(const ServiceName &service, std::vector<CarrierPeer> peers);
+    void setPeers(const ServiceName &service, std::vector<AssignedPeer> peers);
 
     // Gives up the claims of all services, so that the others need not wait for silence. To be called when the process
     // has finished its requests.
@@ -37,13 +37,13 @@
 
 private:
     Result<void> receive(const PeerSender &sender, std::string_view payload);
-    void send(const ServiceName &service, const DemandReport &report, const std::vector<CarrierPeer> &peers);
+    void send(const ServiceName &service, const DemandReport &report, const std::vector<AssignedPeer> &peers);
 
     boost::asio::io_context &m_context;
     ServiceRegistry &m_services;
     PeerTransport &m_transport;
     EventSink m_events;
-    std::map<ServiceName, std::vector<CarrierPeer>> m_peers;
+    std::map<ServiceName, std::vector<AssignedPeer>> m_peers;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/pause.h
+++ b/include/mulberryplank/net/sleep.h
@@ -9,6 +9,6 @@
 {
 
 // Ends after `span`. The io_context must outlive it.
-boost::asio::awaitable<void> pauseFor(boost::asio::io_context &context, Duration span);
+boost::asio::awaitable<void> sleepFor(boost::asio::io_context &context, Duration span);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/net/targetpool.h
+++ b/include/mulberryplank/net/targetpool.h
@@ -26,9 +26,9 @@
     }
 
     HttpStream stream;
-    Instant lastAnswer {}; // when the last whole answer arrived
+    Instant lastResponse {}; // when the last whole answer arrived
     bool reused = false; // an answer has come over it before
-    std::optional<Duration> keptFor; // how long the target keeps it while idle, as its last answer said
+    std::optional<Duration> keepAliveTimeout; // how long the target keeps it while idle, as its last answer said
 };
 
 using TargetConnectionPtr = boost::intrusive_ptr<TargetConnection>;
@@ -40,7 +40,7 @@
 public:
     struct Settings {
         Duration idleLimit = Seconds(30); // targets and the path forget connections; ours go first
-        Duration freshFor =
+        Duration nonIdempotentIdleLimit =
             Seconds(2); // how long after an answer a connection is trusted with a request that runs once
         std::size_t idlePerTarget = 8;
     };
--- a/include/mulberryplank/net/newsmessages.h
+++ b/include/mulberryplank/net/updatemessages.h
@@ -14,7 +14,7 @@
 {
 
 // What a process that doesn't read the store itself, or can't reach it, asks another for.
-struct PeerNewsRequest {
+struct PeerUpdateRequest {
     std::uint64_t version = 0; // of the configuration that it has
     bool wantsConfiguration = false; // a piece of one that is newer
     std::uint64_t base = 0; // digest of the configuration that it has
@@ -26,10 +26,10 @@
 };
 
 // The answer.
-struct PeerNews {
+struct PeerUpdate {
     std::uint64_t version = 0; // of the configuration in force there; 0: none
-    ConfigurationPiece configuration; // of its bytes as they stand in the store, packed
-    bool storeAnswers = true; // the one who is asked is served by the store, and will have what is new
+    ConfigurationPiece configuration; // of its bytes as they stand in the store, compressed
+    bool storeResponds = true; // the one who is asked is served by the store, and will have what is new
     bool hasTargets = false; // its list is told, being up to date or further on than the one of who asks
     bool upToDate = false; // the list that is told
     std::int64_t ageMillis = 0; // since that list was read from the store
@@ -37,18 +37,18 @@
     std::uint64_t listOwner = 0;
     std::uint64_t listVersion = 0;
     bool unchanged = false; // the list is the one that was asked with, and isn't sent again
-    // What differs from the list that was asked with, or else the whole list, which packTargets() has made small.
+    // What differs from the list that was asked with, or else the whole list, which compressTargets() has made small.
     std::vector<AnnouncedTarget> changed;
-    std::vector<TargetName> gone;
-    std::string packedTargets; // empty: only what differs is told
+    std::vector<TargetName> removed;
+    std::string compressedTargets; // empty: only what differs is told
 };
 
 // Says whether the process that gave this answer has had no list of targets so far, and reads one from the store now.
-bool readsFirstList(const PeerNews &news);
+bool readsFirstList(const PeerUpdate &update);
 
-// Tells others that a process has news.
-struct NewsHint {
-    std::uint64_t version = 0; // of the configuration in force there; 0: none, or the news are of something else
+// Tells others that a process has update.
+struct UpdateHint {
+    std::uint64_t version = 0; // of the configuration in force there; 0: none, or the update are of something else
 };
 
 // Stands for a target among processes that know the same ones: a hash of its name. Reports are sent by the hundred each
@@ -70,18 +70,18 @@
 AttemptReport attemptReport(const TargetName &target, AttemptResult result, double logRatio, Duration age);
 
 // Packs a list of targets, and unpacks it. Errors: BadConfiguration, BadRequest.
-std::string packTargets(const std::vector<AnnouncedTarget> &targets);
-Result<std::vector<AnnouncedTarget>> unpackTargets(std::string_view packed);
+std::string compressTargets(const std::vector<AnnouncedTarget> &targets);
+Result<std::vector<AnnouncedTarget>> decompressTargets(std::string_view compressed);
 
-std::string encode(const PeerNewsRequest &request);
-std::string encode(const PeerNews &news);
-std::string encode(const NewsHint &hint);
+std::string encode(const PeerUpdateRequest &request);
+std::string encode(const PeerUpdate &update);
+std::string encode(const UpdateHint &hint);
 std::string encode(const std::vector<AttemptReport> &reports);
 
 // Decode verified bytes. Errors: BadRequest.
-Result<PeerNewsRequest> decodePeerNewsRequest(std::string_view bytes);
-Result<PeerNews> decodePeerNews(std::string_view bytes);
-Result<NewsHint> decodeNewsHint(std::string_view bytes);
+Result<PeerUpdateRequest> decodePeerUpdateRequest(std::string_view bytes);
+Result<PeerUpdate> decodePeerUpdate(std::string_view bytes);
+Result<UpdateHint> decodeUpdateHint(std::string_view bytes);
 Result<std::vector<AttemptReport>> decodeAttemptReports(std::string_view bytes);
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/onceregistry.h
+++ b/include/mulberryplank/policy/atmostonceregistry.h
@@ -22,32 +22,32 @@
 {
 
 // The first half of an Idempotency-Key: the process that alone may run the request, and when it handed the token out.
-struct OnceToken {
+struct IdempotencyToken {
     Incarnation incarnation = 0;
-    std::uint32_t epoch = 0; // counts OnceSettings::epoch since the process started
+    std::uint32_t epoch = 0; // counts AtMostOnceSettings::epoch since the process started
 
-    bool operator==(const OnceToken &) const = default;
+    bool operator==(const IdempotencyToken &) const = default;
 };
 
 // Returns the token's text, as `locate` and 428 answers carry it.
-std::string toString(const OnceToken &token);
+std::string toString(const IdempotencyToken &token);
 
 // An Idempotency-Key header: "TOKEN/CALLERKEY".
-struct OnceKey {
-    OnceToken token;
-    std::string_view callerKey; // 1 to MostCallerKey characters; points into the text that was parsed
+struct IdempotencyKey {
+    IdempotencyToken token;
+    std::string_view callerKey; // 1 to MaxCallerKeyLength characters; points into the text that was parsed
 };
 
-inline constexpr std::size_t MostCallerKey = 128;
+inline constexpr std::size_t MaxCallerKeyLength = 128;
 
 // Returns the key that a header value names, or nothing for another form.
-std::optional<OnceKey> parseOnceKey(std::string_view value);
+std::optional<IdempotencyKey> parseIdempotencyKey(std::string_view value);
 
 // Returns a fingerprint that tells a repeat from another request under the same key.
 std::uint64_t requestFingerprint(std::string_view method, std::string_view target, std::string_view body);
 
 // A target's whole answer, kept to be given again.
-struct StoredAnswer {
+struct StoredResponse {
     int status = 0;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
@@ -56,7 +56,7 @@
     std::size_t size() const;
 };
 
-enum class OnceDecisionKind : std::uint8_t {
+enum class AtMostOnceDecisionKind : std::uint8_t {
     Run, // the first time: run it, then call finish()
     Replay, // give `answer` again
     InProgress, // runs right now: RepeatInProgress
@@ -68,55 +68,58 @@
 };
 
 // Who handed a request to this process.
-enum class OnceSource : std::uint8_t {
+enum class RequestSource : std::uint8_t {
     Caller,
     Peer, // another proxy forwarded it
 };
 
-struct OnceDecision {
-    OnceDecisionKind kind = OnceDecisionKind::Unknown;
-    std::shared_ptr<const StoredAnswer> answer; // Replay
+struct AtMostOnceDecision {
+    AtMostOnceDecisionKind kind = AtMostOnceDecisionKind::Unknown;
+    std::shared_ptr<const StoredResponse> answer; // Replay
     Incarnation incarnation = 0; // ForwardTo
     Duration retryAfter {}; // Full
 };
 
-struct OnceSettings {
+struct AtMostOnceSettings {
     Seconds epoch { 60 };
     std::uint32_t epochsValid = 15; // a token starts new requests during its epoch and so many more
     std::uint32_t epochsKept = 5; // a key is remembered so much longer than it may start, for repeats of late runs
-    std::size_t mostKeys = 200'000; // in all
-    std::size_t mostKeysPerAccount = 10'000;
-    std::size_t mostAnswerBytes = 65'536; // a larger answer isn't kept, only that there was one
-    std::size_t mostAnswerBytesPerAccount = 8'388'608;
+    std::size_t maxKeys = 200'000; // in all
+    std::size_t maxKeysPerAccount = 10'000;
+    std::size_t maxResponseBytes = 65'536; // a larger answer isn't kept, only that there was one
+    std::size_t maxResponseBytesPerAccount = 8'388'608;
 };
 
 // Holds a caller's repeats of a request that isn't idempotent to one run, without a shared store: a key is bound to
 // one process incarnation, and only that process may run it. It keeps what became of the key for longer than the token
 // can start a run, so nothing that ran is ever forgotten while it could be run again; when memory is full it
 // refuses new keys rather than forgetting old ones. docs/pages/at-most-once.md holds the argument. Not thread-safe.
-class OnceRegistry
+class AtMostOnceRegistry
 {
 public:
     // `started` is the process's start. `isMember` says whether an incarnation other than this one is a live member.
-    OnceRegistry(Incarnation self, Instant started, OnceSettings settings, std::function<bool(Incarnation)> isMember);
-    OnceRegistry(const OnceRegistry &) = delete;
-    OnceRegistry &operator=(const OnceRegistry &) = delete;
-    ~OnceRegistry();
+    AtMostOnceRegistry(Incarnation self,
+                       Instant started,
+                       AtMostOnceSettings settings,
+                       std::function<bool(Incarnation)> isMember);
+    AtMostOnceRegistry(const AtMostOnceRegistry &) = delete;
+    AtMostOnceRegistry &operator=(const AtMostOnceRegistry &) = delete;
+    ~AtMostOnceRegistry();
 
     // Returns the token for new keys at `now`.
-    OnceToken token(Instant now) const;
+    IdempotencyToken token(Instant now) const;
 
-    // Decides on a request with that Idempotency-Key. After Run, finishAnswered() or finishFailed() must be called
+    // Decides on a request with that Idempotency-Key. After Run, finishWithResponse() or finishFailed() must be called
     // whatever happens; until then every repeat gets InProgress. What a peer forwarded is never forwarded again.
-    OnceDecision begin(const AccountName &account,
-                       const ServiceName &service,
-                       std::string_view key,
-                       std::uint64_t fingerprint,
-                       Instant now,
-                       OnceSource source = OnceSource::Caller);
+    AtMostOnceDecision begin(const AccountName &account,
+                             const ServiceName &service,
+                             std::string_view key,
+                             std::uint64_t fingerprint,
+                             Instant now,
+                             RequestSource source = RequestSource::Caller);
 
     // Ends a Run with the target's whole answer.
-    void finishAnswered(const AccountName &account, std::string_view key, StoredAnswer answer);
+    void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse answer);
 
     // Ends a Run that failed: NotRun frees the key for a new run, Unknown bars it for good.
     void finishFailed(const AccountName &account, std::string_view key, Outcome outcome);
@@ -125,26 +128,26 @@
     std::size_t size() const;
 
     // Returns the bytes of answers held for `account`.
-    std::size_t answerBytes(const AccountName &account) const;
+    std::size_t responseBytes(const AccountName &account) const;
 
 private:
     enum class EntryState : std::uint8_t {
         Running,
         NotRun,
-        Answered,
+        Responded,
         Unknown, // also an answer that could not be kept
     };
     using AutoUnlink = boost::intrusive::link_mode<boost::intrusive::auto_unlink>;
     using ExpiryHook = boost::intrusive::set_base_hook<AutoUnlink>;
-    using AnswerHook = boost::intrusive::list_base_hook<AutoUnlink>;
-    struct Entry : ExpiryHook, AnswerHook {
+    using ResponseHook = boost::intrusive::list_base_hook<AutoUnlink>;
+    struct Entry : ExpiryHook, ResponseHook {
         std::string id;
         AccountName account;
         ServiceName service;
         std::uint64_t fingerprint = 0;
         std::uint64_t sequence = 0; // order of arrival, to break ties
         EntryState state = EntryState::Running;
-        std::shared_ptr<const StoredAnswer> answer;
+        std::shared_ptr<const StoredResponse> answer;
         Instant forgetAt;
 
         bool operator<(const Entry &other) const;
@@ -153,26 +156,26 @@
     using ByExpiry = boost::intrusive::multiset<Entry, NonCounting>;
     struct AccountUse {
         std::size_t keys = 0;
-        std::size_t answerBytes = 0;
-        boost::intrusive::list<Entry, NonCounting> withAnswer; // oldest first
+        std::size_t responseBytes = 0;
+        boost::intrusive::list<Entry, NonCounting> withResponse; // oldest first
     };
 
-    Instant startsUntil(const OnceToken &token) const;
+    Instant startsUntil(const IdempotencyToken &token) const;
     void forgetExpired(Instant now);
-    void dropAnswer(Entry &entry);
-    void makeRoomForAnswer(AccountUse &use, std::size_t bytes);
+    void dropResponse(Entry &entry);
+    void makeRoomForResponse(AccountUse &use, std::size_t bytes);
     Entry *find(const AccountName &account, std::string_view key);
-    OnceDecision repeat(Entry &entry, const ServiceName &service, std::uint64_t fingerprint);
-    OnceDecision first(const AccountName &account,
-                       const ServiceName &service,
-                       std::string_view key,
-                       const OnceToken &token,
-                       std::uint64_t fingerprint,
-                       Instant now);
+    AtMostOnceDecision repeat(Entry &entry, const ServiceName &service, std::uint64_t fingerprint);
+    AtMostOnceDecision first(const AccountName &account,
+                             const ServiceName &service,
+                             std::string_view key,
+                             const IdempotencyToken &token,
+                             std::uint64_t fingerprint,
+                             Instant now);
 
     Incarnation m_self;
     Instant m_started;
-    OnceSettings m_settings;
+    AtMostOnceSettings m_settings;
     std::function<bool(Incarnation)> m_isMember;
     std::unordered_map<AccountName, AccountUse> m_use;
     ByExpiry m_byExpiry;
--- a/include/mulberryplank/policy/bodyresume.h
+++ b/include/mulberryplank/policy/bodyprogress.h
@@ -69,14 +69,14 @@
     bool complete() const;
 
     // Returns true if the end that the framing reports is the true end of the body.
-    bool endIsTrue() const;
+    bool isCompleteAtEnd() const;
 
     // Returns the request for the rest, or nothing when it can't be proven that the rest would fit: no length, no
     // strong ETag, a status other than 200 or 206, or nothing missing.
     std::optional<ResumeRequest> resumeRequest() const;
 
     // Returns true if an answer with that header carries exactly the missing rest of this body.
-    bool continues(const BodyHeader &header) const;
+    bool isContinuedBy(const BodyHeader &header) const;
 
 private:
     BodyHeader m_header;
--- a/include/mulberryplank/policy/budgetloan.h
+++ b/include/mulberryplank/policy/budgetloan.h
@@ -22,9 +22,9 @@
     std::optional<Instant> accept(std::uint64_t number, Instant now);
 
 private:
-    std::uint64_t m_number = 0; // of the last question
-    bool m_waits = false;
-    Instant m_askedAt {};
+    std::uint64_t m_lastNumber = 0; // of the last question
+    bool m_awaitingResponse = false;
+    Instant m_requestedAt {};
 };
 
 // How long after its question a loan may be spent. The lender counts it for as much longer.
--- a/include/mulberryplank/policy/configtable.h
+++ b/include/mulberryplank/policy/configtable.h
@@ -43,7 +43,7 @@
 
 // How many decided edits a table remembers by their ids. At 29,000 edits a day that is more than three hours; an edit
 // that comes again later than that is refused by its versions, unless the item is gone and it would create it.
-inline constexpr std::size_t RememberedEdits = 4'096;
+inline constexpr std::size_t MaxRememberedEdits = 4'096;
 
 // The operators' configuration as a deterministic fold of the log: readers that have applied the same records hold the
 // same table, whichever way the records reached them. Not synchronized.
@@ -88,12 +88,12 @@
     // Returns the services that `account` has a row for, in order of name. Takes time in proportion to the services.
     std::vector<ServiceName> servicesOf(const AccountName &account) const;
 
-    // Returns what became of the edit, if it is one of the last RememberedEdits that were decided.
+    // Returns what became of the edit, if it is one of the last MaxRememberedEdits that were decided.
     std::optional<EditOutcome> outcomeOf(const EditId &id) const;
 
     // Returns false if this table surely comes from another log than `older`, which has applied fewer records: the last
     // edit that `older` decided is missing here, though this table remembers edits as old as that one.
-    bool mayFollow(const ConfigTable &older) const;
+    bool mayShareLogWith(const ConfigTable &older) const;
 
     // Returns the SHA-256, in hexadecimal, of the table's content: equal at equal nextOffset().
     std::string digest() const;
@@ -112,10 +112,10 @@
     static Result<ConfigTable> fromSnapshot(std::vector<std::string> pieces);
 
 private:
-    using Piece = std::function<void(std::string_view)>;
+    using PieceSink = std::function<void(std::string_view)>;
 
-    // Reads what `feed` passes on piece by piece.
-    static Result<ConfigTable> readSnapshot(const std::function<void(const Piece &)> &feed);
+    // Reads what `source` passes on piece by piece.
+    static Result<ConfigTable> readSnapshot(const std::function<void(const PieceSink &)> &source);
 
     struct Private;
     std::unique_ptr<Private> m_d;
--- a/include/mulberryplank/policy/configurationoffer.h
+++ b/include/mulberryplank/policy/configurationsender.h
@@ -9,15 +9,15 @@
 namespace mulberryplank
 {
 
-// The configuration that a process has in force, as it gives it to others: packed, in pieces, and only what differs
+// The configuration that a process has in force, as it gives it to others: compressed, in pieces, and only what differs
 // where the other one has the configuration that was in force here before: many processes share the link of the one
 // that they ask, and mostly a line has changed. Not synchronized.
-class ConfigurationOffer
+class ConfigurationSender
 {
 public:
-    ConfigurationOffer() = default;
-    ConfigurationOffer(const ConfigurationOffer &) = delete;
-    ConfigurationOffer &operator=(const ConfigurationOffer &) = delete;
+    ConfigurationSender() = default;
+    ConfigurationSender(const ConfigurationSender &) = delete;
+    ConfigurationSender &operator=(const ConfigurationSender &) = delete;
 
     // Puts a configuration in the place of the one before it.
     void replace(std::string bytes, std::uint64_t version);
@@ -31,20 +31,20 @@
     std::uint64_t digest() const;
 
 private:
-    struct Packed {
+    struct Compressed {
         std::string bytes;
         std::uint64_t digest = 0;
         std::uint64_t base = 0; // digest of what it is unpacked with; 0: nothing
     };
 
-    const Packed &packedFor(std::uint64_t base);
+    const Compressed &compressedFor(std::uint64_t base);
 
     std::string m_bytes;
     std::uint64_t m_version = 0;
     std::uint64_t m_digest = 0;
     std::string m_previous;
     std::uint64_t m_previousDigest = 0;
-    std::map<std::uint64_t, Packed> m_packed; // by the base's digest; 0: without one
+    std::map<std::uint64_t, Compressed> m_compressed; // by the base's digest; 0: without one
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/configurationtransfer.h
+++ b/include/mulberryplank/policy/configurationtransfer.h
@@ -31,14 +31,14 @@
 std::uint64_t configurationDigest(std::string_view bytes);
 
 // Returns the piece of `bytes` at `from`, or the first one when `from` is of other bytes. The base is left out.
-ConfigurationPiece cutPiece(std::string_view bytes,
-                            std::uint64_t version,
-                            std::uint64_t digest,
-                            const PiecePosition &from);
+ConfigurationPiece pieceAt(std::string_view bytes,
+                           std::uint64_t version,
+                           std::uint64_t digest,
+                           const PiecePosition &from);
 
 // Puts the pieces of a packed configuration together, whoever they come from. What has arrived is kept when an answer
-// fails, so the next one goes on from there: a transfer that begins anew after each failure never ends over a link on
-// which it takes longer than the time between two failures. Not synchronized.
+// fails, so the next one goes on from there: a transfer that startsTransfer anew after each failure never ends over a
+// link on which it takes longer than the time between two failures. Not synchronized.
 class ConfigurationTransfer
 {
 public:
@@ -47,19 +47,19 @@
     ConfigurationTransfer &operator=(const ConfigurationTransfer &) = delete;
 
     // Takes a piece, and returns the whole packed configuration if it was the last one. Pieces that don't fit are
-    // dropped; the first piece of another configuration begins a new transfer, of an older one only after
+    // dropped; the first piece of another configuration startsTransfer a new transfer, of an older one only after
     // onSourceFailed().
     std::optional<std::string> take(const ConfigurationPiece &piece);
 
     // Whoever was asked last doesn't answer. Where nobody else has that configuration either, an older one is taken.
     void onSourceFailed();
 
-    // Returns where the next piece begins.
+    // Returns where the next piece startsTransfer.
     PiecePosition next() const;
 
 private:
-    bool begins(const ConfigurationPiece &piece) const;
-    bool goesOn(const ConfigurationPiece &piece) const;
+    bool startsTransfer(const ConfigurationPiece &piece) const;
+    bool continues(const ConfigurationPiece &piece) const;
 
     std::uint64_t m_version = 0;
     std::uint64_t m_digest = 0;
--- a/include/mulberryplank/policy/costmodel.h
+++ b/include/mulberryplank/policy/costmodel.h
@@ -55,7 +55,7 @@
 
     CostModelSettings m_settings;
     Average m_service;
-    Average m_logarithm; // over all requests of the service
+    Average m_logCost; // over all requests of the service
     Duration m_typical {};
     std::vector<Average> m_routes;
     std::vector<std::vector<Average>> m_accounts; // by account, then by route
--- a/include/mulberryplank/policy/detector.h
+++ b/include/mulberryplank/policy/detector.h
@@ -12,31 +12,31 @@
 {
 
 // Counts of latencies in classes whose bounds grow by a constant factor. The counts are weights, so that old ones can
-// fade. Latencies outside the range fall into the first or last class.
+// decay. Latencies outside the range fall into the first or last class.
 class LatencyHistogram
 {
 public:
-    static constexpr std::size_t ClassCount = 64;
+    static constexpr std::size_t BucketCount = 64;
 
     // Returns the class of `latency`, from 0.1 ms on, four classes for each doubling.
-    static std::size_t classOf(Duration latency);
+    static std::size_t bucketOf(Duration latency);
 
     // Returns the latency in the middle of a class.
-    static Duration middleOf(std::size_t latencyClass);
+    static Duration bucketMidpoint(std::size_t bucket);
 
-    void add(std::size_t latencyClass);
-    void fade(float factor);
+    void add(std::size_t bucket);
+    void decay(float factor);
 
     float total() const;
 
     // Returns the weight below a class, and half of the weight within it.
-    float below(std::size_t latencyClass) const;
+    float below(std::size_t bucket) const;
 
     // Returns the latency that the share `rank`, 0 to 1, of the weight doesn't exceed; 0 without weight.
     Duration quantile(double rank) const;
 
 private:
-    std::array<float, ClassCount> m_weights {};
+    std::array<float, BucketCount> m_weights {};
     float m_total = 0;
 };
 
@@ -60,8 +60,8 @@
     double error = 0;
 };
 
-// Returns the steps of the test of `sickShare` against `healthyShare` of errors, both above 0 and below 1.
-ErrorTestSteps errorTestSteps(double healthyShare, double sickShare);
+// Returns the steps of the test of `faultyShare` against `healthyShare` of errors, both above 0 and below 1.
+ErrorTestSteps errorTestSteps(double healthyShare, double faultyShare);
 
 // Returns what a latency at rank `rank` (the share of comparable latencies below it) adds to the test for slowness.
 // With ranks u of a healthy target spread evenly over 0 to 1 whatever the latencies' distribution, the test is of the
@@ -86,12 +86,12 @@
     // Forgets a target's evidence.
     void removeTarget(TargetIndex target);
 
-    // Takes in an attempt; `latencyCounts` is false while the target may be slow for a good reason, such as a cold
+    // Takes in an attempt; `useLatency` is false while the target may be slow for a good reason, such as a cold
     // start. O(1).
-    void observe(const Attempt &attempt, Instant now, bool latencyCounts);
+    void observe(const Attempt &attempt, Instant now, bool useLatency);
 
-    // Takes in requests still waiting, as ServiceHealth::outstanding().
-    void outstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now);
+    // Takes in requests still waiting, as ServiceHealth::observeOutstanding().
+    void observeOutstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now);
 
     // Brings references up to date. To be called about 10 times a second.
     void tick(Instant now);
@@ -115,13 +115,13 @@
     void reset(TargetIndex target);
 
     // Starts all targets' tests afresh and lets old latencies count little: after a change of the whole service.
-    void relearn();
+    void rebaseline();
 
 private:
     struct Counts {
         float attempts = 0;
         float errors = 0;
-        float wrongAnswers = 0;
+        float wrongResponses = 0;
     };
 
     struct Target {
@@ -130,24 +130,24 @@
         std::array<SequentialTest, RouteClasses> verySlow;
         SequentialTest manyErrors;
         SequentialTest someErrors;
-        SequentialTest wrongAnswers;
+        SequentialTest wrongResponses;
         ErrorTestSteps manyErrorsSteps;
         ErrorTestSteps someErrorsSteps;
-        ErrorTestSteps wrongAnswersSteps;
+        ErrorTestSteps wrongResponseSteps;
         Counts counts;
-        double lately = 0; // attempts, fading within a second
+        double decayedAttempts = 0; // attempts, fading within a second
         double waiting = 0; // log likelihood ratio of the requests still waiting
         double meanLatency = 0; // seconds
         Instant lastEvidence {};
-        Instant lastAnswer {};
+        Instant lastResponse {};
     };
 
     double rankOf(const Target &target, std::size_t route, Duration latency) const;
-    double shareStillWaiting(Duration age) const;
+    double survivalShare(Duration age) const;
     void observeErrors(Target &target, AttemptResult result);
     void observeLatency(Target &target, std::size_t route, Duration latency, bool success);
     void updateSteps(Target &target) const;
-    void fade();
+    void decay();
 
     double m_limit;
     std::vector<std::unique_ptr<Target>> m_targets; // empty for removed ones
@@ -155,7 +155,7 @@
     LatencyHistogram m_allRoutes;
     Counts m_counts; // of all targets
     double m_meanLatency = 0; // seconds
-    Instant m_fadedAt {};
+    Instant m_decayedAt {};
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/evidence.h
+++ b/include/mulberryplank/policy/evidence.h
@@ -84,7 +84,7 @@
     double suspicion = 0; // sum over the proxies, each one's part less its noise and limited
     double largest = 0; // the largest part of one proxy in it
     std::size_t supporters = 0; // proxies that suspect it
-    std::size_t informed = 0; // proxies that have sent it requests lately
+    std::size_t observers = 0; // proxies that have sent it requests lately
 };
 
 // Keeps the newest evidence of each peer and adds it up. Not synchronized.
@@ -101,11 +101,11 @@
     void receive(PeerKey peer, const std::vector<TargetEvidence> &evidence, Instant now);
 
     // Returns true if the peer's newest report says that it sends the target requests and finds it well.
-    bool findsWell(PeerKey peer, TargetId target, Instant now) const;
+    bool reportsHealthy(PeerKey peer, TargetId target, Instant now) const;
 
     // Returns what this process (`own`) and the peers have seen of a target. No proxy's part of the sum exceeds
-    // `mostFromOne`; a proxy whose part is at least `leastSupport` is a supporter.
-    JointView view(const TargetEvidence &own, double mostFromOne, double leastSupport, Instant now) const;
+    // `maxPerProxy`; a proxy whose part is at least `minSupport` is a supporter.
+    JointView view(const TargetEvidence &own, double maxPerProxy, double minSupport, Instant now) const;
 
 private:
     struct PeerEvidence {
--- a/include/mulberryplank/policy/fairqueue.h
+++ b/include/mulberryplank/policy/fairqueue.h
@@ -56,7 +56,7 @@
 // What one account asked of this process since the last FairQueue::takeDemand(), refused requests included.
 struct AccountDemand {
     AccountIndex account = 0;
-    Duration over {}; // the time that this is about
+    Duration interval {}; // the time that this is about
     double requestsPerSecond = 0;
     double slots = 0; // slot-time asked for per second
     std::uint32_t running = 0;
@@ -106,7 +106,7 @@
     // that others leave unused for a moment.
     void setCapacity(double slots);
 
-    // Sets the typical cost of the service's requests over all its proxies, as FleetShares::typicalCost() gives it;
+    // Sets the typical cost of the service's requests interval all its proxies, as FleetShares::typicalCost() gives it;
     // zero: not known. A proxy that has only huge requests can't tell by itself that others have small ones.
     void setTypicalCost(Duration cost);
 
--- a/include/mulberryplank/policy/fleetshares.h
+++ b/include/mulberryplank/policy/fleetshares.h
@@ -24,14 +24,14 @@
 inline constexpr std::size_t LimitKinds = 3;
 using ShareAmounts = std::array<double, LimitKinds>;
 
-// What a member has heard from another one.
-struct PeerHeard {
+// What a member has peerStatus from another one.
+struct PeerStatus {
     VmName vm;
-    Incarnation incarnation = 0; // 0: never heard from
-    std::uint64_t sequence = 0; // of the last report heard; acknowledges it, unless silent is set
-    bool silent = false; // was not heard from for so long that its claims count as given up
+    Incarnation incarnation = 0; // 0: never peerStatus from
+    std::uint64_t sequence = 0; // of the last report peerStatus; acknowledges it, unless unresponsive is set
+    bool unresponsive = false; // was not peerStatus from for so long that its claims count as given up
 
-    bool operator==(const PeerHeard &) const = default;
+    bool operator==(const PeerStatus &) const = default;
 };
 
 // One account in a member's report.
@@ -48,13 +48,13 @@
 // its claim is an even part of the pool if claimsEvenParts, else none.
 struct DemandReport {
     std::uint64_t sequence = 0; // grows by one per report of an incarnation
-    std::uint64_t contentSequence = 0; // of the report that first said what this one says of accounts
+    std::uint64_t contentSequence = 0; // of the report that first said what this one confirmed of accounts
     bool complete = true; // false: nothing changed since contentSequence, and accounts are left out
     bool leaving = false; // the last report of this incarnation, which holds nothing any more
     bool claimsEvenParts = false;
     std::uint64_t membersDigest = 0; // of the members that the sender takes for those that carry the service
     std::uint32_t memberCount = 0;
-    std::vector<PeerHeard> heard;
+    std::vector<PeerStatus> peerStatus;
     std::vector<AccountReport> accounts;
 
     bool operator==(const DemandReport &) const = default;
@@ -67,10 +67,10 @@
     Duration reportInterval = Seconds(1); // while nothing changes
     Duration quickInterval = Millis(200); // while claims are being changed
     Duration lease = Seconds(3); // how long claims hold without acknowledgements
-    Duration silence = Seconds(7); // after which a silent member's claims are given up. More than twice the lease, by
-                                   // as much as clocks may differ in speed
+    Duration silenceTimeout = Seconds(7); // after which a unresponsive member's claims are given up. More than twice
+                                          // the lease, by as much as clocks may differ in speed
     Duration partitionGrace = Seconds(60); // after which a member that has lost most of the others goes on without them
-    std::size_t mostAccounts = 256; // in one report; accounts beyond it keep to even parts
+    std::size_t maxAccounts = 256; // in one report; accounts beyond it keep to even parts
 };
 
 // Shares out the fleet-wide limits and weights of one service's accounts over the members that carry the service.
@@ -82,10 +82,10 @@
 // The last one to pass this check has seen what all others hold, so that the sum never passes the limit, however
 // reports are delayed, lost, repeated or reordered.
 //
-// A member that isn't linked (heard, and acknowledged, within the lease) with a majority of the members gives up its
-// claims by its own clock. Claims of a silent member stay reserved until a majority says that it was silent for more
-// than twice the lease; who said so acknowledges nothing more of it until it has given up its claims itself. While no
-// majority is linked, only fixed parts are used.
+// A member that isn't linked (peerStatus, and acknowledged, within the lease) with a majority of the members gives up
+// its claims by its own clock. Claims of a unresponsive member stay reserved until a majority confirmed that it was
+// unresponsive for more than twice the lease; who said so acknowledges nothing more of it until it has given up its
+// claims itself. While no majority is linked, only fixed parts are used.
 //
 // The sum can pass a limit in these cases only:
 // - Requests in flight when a member gives up its claims run to their end.
@@ -120,10 +120,10 @@
     // Returns when the next report() is due.
     Instant nextReport() const;
 
-    // Returns the report to send to every other member, and moves claims where demand or silence asks for it.
+    // Returns the report to send to every other member, and moves claims where demand or silenceTimeout asks for it.
     DemandReport report(Instant now);
 
-    // Gives up all claims and returns the last report to send, so that the others need not wait for silence.
+    // Gives up all claims and returns the last report to send, so that the others need not wait for silenceTimeout.
     DemandReport leave(Instant now);
 
     // Takes in another member's report. Reports may come late, repeatedly, or out of order.
--- a/include/mulberryplank/policy/floor.h
+++ b/include/mulberryplank/policy/floor.h
@@ -18,8 +18,8 @@
 
 struct EjectionClaimsSettings {
     Duration lease = Millis { 2'000 }; // how long an ejection lasts without being confirmed by the peers
-    Duration expiry = Millis { 5'000 }; // silence after which a peer holds no ejection; more than two leases
-    Duration linger = Millis { 15'000 }; // how long a peer that is no longer named still counts
+    Duration expiry = Millis { 5'000 }; // silence after which a peer isInEffect no ejection; more than two leases
+    Duration retention = Millis { 15'000 }; // how long a peer that is no longer listed still counts
 };
 
 // Keeps the ejections of several proxies together within one floor, without a coordinator and with any loss, delay or
@@ -38,7 +38,7 @@
 {
 public:
     // How bad a target is; the larger, the sooner it is ejected.
-    using Badness = std::function<double(TargetId)>;
+    using FaultSeverity = std::function<double(TargetId)>;
 
     EjectionClaims(PeerKey self, EjectionClaimsSettings settings);
 
@@ -58,13 +58,13 @@
     void release(TargetId target);
 
     // Returns true while the target may be ejected here.
-    bool holds(TargetId target) const;
+    bool isInEffect(TargetId target) const;
 
     // Returns true if the target is claimed, in effect or not.
     bool claims(TargetId target) const;
 
     // Returns how many of the other proxies that are heard claim the target.
-    std::size_t claimsElsewhere(TargetId target, Instant now) const;
+    std::size_t countOtherClaims(TargetId target, Instant now) const;
 
     // Returns true if this peer claims the target and has been heard lately.
     bool claimedBy(PeerKey peer, TargetId target, Instant now) const;
@@ -76,7 +76,7 @@
     // bad first. `known` are the service's targets and `floor` how many of them must stay. Returns the claims given up.
     std::vector<TargetId> tick(const std::vector<TargetId> &known,
                                std::size_t floor,
-                               const Badness &badness,
+                               const FaultSeverity &faultSeverity,
                                Instant now);
 
     // Returns how many of `known` any proxy counts as out of service, what this process claims included.
@@ -84,22 +84,22 @@
 
     // Returns true while a claim of ours hasn't been announced, or a peer's hasn't been confirmed: the next report is
     // waited for.
-    bool hasNews() const;
+    bool needsReport() const;
 
     // Returns true when every peer that isn't gone has confirmed a report within the lease.
-    bool leased(Instant now) const;
+    bool hasLease(Instant now) const;
 
 private:
     struct Peer {
         Instant addedAt {};
-        Instant heardAt {};
+        Instant lastReportAt {};
         Instant removedAt {}; // when setPeers() left it out
-        bool named = true;
+        bool listed = true;
         std::uint32_t newest = 0; // sequence of the newest report received
         std::uint32_t confirmed = 0; // our sequence that the peer has confirmed
         std::vector<TargetId> claimed;
         std::vector<TargetId> unavailable;
-        std::set<PeerKey> hears;
+        std::set<PeerKey> receivesFrom;
     };
 
     struct Claim {
@@ -113,13 +113,19 @@
         Instant at {};
     };
 
-    bool isSilent(const Peer &peer, Instant now) const;
+    bool isUnresponsive(const Peer &peer, Instant now) const;
     bool isFresh(const Peer &peer, Instant now) const;
     bool isConfirmed(const Claim &claim, Instant now) const;
-    std::set<TargetId> worstView(Instant now) const;
-    std::vector<TargetId> yield(const std::set<TargetId> &out, std::size_t budget, const Badness &badness, Instant now);
-    std::size_t worseThan(TargetId target, const std::set<TargetId> &out, const Badness &badness, Instant now) const;
-    void forgetLingering(Instant now);
+    std::set<TargetId> outInAnyView(Instant now) const;
+    std::vector<TargetId> giveUpExcess(const std::set<TargetId> &out,
+                                       std::size_t budget,
+                                       const FaultSeverity &faultSeverity,
+                                       Instant now);
+    std::size_t countOutranking(TargetId target,
+                                const std::set<TargetId> &out,
+                                const FaultSeverity &faultSeverity,
+                                Instant now) const;
+    void removeExpiredPeers(Instant now);
 
     PeerKey m_self;
     EjectionClaimsSettings m_settings;
@@ -127,7 +133,7 @@
     std::map<TargetId, Claim> m_claims;
     std::vector<TargetId> m_unavailable;
     std::uint32_t m_sequence = 0;
-    bool m_unconfirmed = false; // a peer's claim that no report of ours has confirmed
+    bool m_hasUnconfirmedPeerClaims = false; // a peer's claim that no report of ours has confirmed
     std::deque<SentReport> m_sent; // within the lease
 };
 
--- a/include/mulberryplank/policy/forwardplan.h
+++ b/include/mulberryplank/policy/forwardplan.h
@@ -12,7 +12,7 @@
 
 // Decides how often one request is sent, and what may be said of it at the end. Guarantees, whatever order attempts end
 // in: a request that may run only once is sent again only while every attempt before it is known not to have run; the
-// outcome NotRun is given only then, too; no more than HostRoute::mostAttempts targets can have run the request. Not
+// outcome NotRun is given only then, too; no more than HostRoute::maxAttempts targets can have run the request. Not
 // synchronized.
 class ForwardPlan
 {
@@ -24,7 +24,7 @@
     bool mayStart(Instant now) const;
 
     // Returns true if no further attempt could follow the next one.
-    bool nextIsLast() const;
+    bool nextAttemptIsLast() const;
 
     // An attempt begins; the request's first byte goes out to its target.
     void onStarted();
@@ -37,7 +37,7 @@
     Outcome outcome() const;
 
     // Returns the error to answer with when nothing is left to try or the time is up.
-    ErrorKind finalError(bool timeIsUp) const;
+    ErrorKind finalError(bool deadlinePassed) const;
 
     std::uint32_t started() const;
 
@@ -47,8 +47,8 @@
     std::uint32_t m_started = 0;
     std::uint32_t m_running = 0; // attempts that have sent and haven't ended
     std::uint32_t m_mayHaveRun = 0; // attempts that have sent, have ended, and weren't refused
-    AttemptResult m_last = AttemptResult::Cancelled;
-    AttemptResult m_lastThatMayHaveRun = AttemptResult::Cancelled;
+    AttemptResult m_lastResult = AttemptResult::Cancelled;
+    AttemptResult m_lastPossiblyRunResult = AttemptResult::Cancelled;
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/headerrules.h
+++ b/include/mulberryplank/policy/headerrules.h
@@ -13,7 +13,7 @@
 inline constexpr std::string_view NotRunHeader = "X-Not-Run";
 inline constexpr std::string_view LoadHeader = "X-Load";
 inline constexpr std::string_view DrainingHeader = "X-Draining";
-inline constexpr std::string_view OnceKeyHeader = "Idempotency-Key";
+inline constexpr std::string_view IdempotencyKeyHeader = "Idempotency-Key";
 
 // Returns true if the header field `name` concerns both ends and not just one connection. `connection` is the value of
 // the message's Connection header, as below.
--- a/include/mulberryplank/policy/hedge.h
+++ b/include/mulberryplank/policy/hedge.h
@@ -11,9 +11,9 @@
 
 struct HedgeSettings {
     double quantile = 0.95; // of the route's latency
-    std::uint32_t leastSamples = 100; // no hedging before so many answers were seen
+    std::uint32_t minSamples = 100; // no hedging before so many answers were seen
     std::uint32_t window = 4'096; // samples after which the weight of older ones is halved
-    Millis least { 2 }; // never hedge earlier than this
+    Millis minDelay { 2 }; // never hedge earlier than this
 };
 
 // Learns after which time an answer of one route is late. Memory is constant: latencies are counted in buckets that
@@ -25,7 +25,7 @@
 
     // Records the time that an answer's header took. Latencies of attempts that lost against a hedge belong here too,
     // as the time they had run so far; otherwise hedging would hide the slowness that it answers.
-    void onLatency(Duration latency);
+    void recordLatency(Duration latency);
 
     // Returns the time to wait before a second attempt is made beside the first, or nothing while too few answers were
     // seen.
--- a/include/mulberryplank/policy/logposition.h
+++ b/include/mulberryplank/policy/logposition.h
@@ -14,27 +14,27 @@
 // What a page of the log means to a reader.
 enum class LogFinding : std::uint8_t {
     Current, // nothing new
-    News, // there are records to apply
+    NewRecords, // there are records to apply
     Expired, // the next record is gone: a snapshot is needed first
-    WentBack, // this isn't the log that the reader has applied: it lost its tail, or was made anew
+    RolledBack, // this isn't the log that the reader has applied: it lost its tail, or was made anew
     Malformed, // the page contradicts itself
 };
 
 std::string_view toString(LogFinding finding);
 
-struct LogJudgement {
+struct LogCheckResult {
     LogFinding finding = LogFinding::Current;
-    std::vector<LogRecord> news; // to apply, in order, without a gap
+    std::vector<LogRecord> update; // to apply, in order, without a gap
     std::string detail; // for people
 };
 
-// Returns the offset to read from, so that judgeLog() can tell whether it is still the same log: one record before
+// Returns the offset to read from, so that checkLog() can tell whether it is still the same log: one record before
 // `applied`, where there is one.
-Offset verifyingOffset(Offset applied);
+Offset verificationOffset(Offset applied);
 
-// Judges a page that was read from verifyingOffset(applied) on, for a reader that has applied the records before
+// Judges a page that was read from verificationOffset(applied) on, for a reader that has applied the records before
 // `applied`, the last of which has the digest `last`.
-LogJudgement judgeLog(Offset applied, const RecordDigest &last, LogPage page);
+LogCheckResult checkLog(Offset applied, const RecordDigest &last, LogPage page);
 
 // Decides when a snapshot has to be published. The log keeps records for a limited time, so that both the records and
 // the snapshots themselves vanish; a proxy that starts after that would find neither. Not synchronized.
@@ -43,7 +43,7 @@
 public:
     struct Settings {
         Duration interval = Seconds(600); // much less than the time that the log keeps records
-        Duration perRank = Seconds(5); // how much longer each further proxy waits, so that mostly one publishes
+        Duration delayPerRank = Seconds(5); // how much longer each further proxy waits, so that mostly one publishes
     };
 
     explicit SnapshotSchedule(Settings settings);
@@ -58,7 +58,7 @@
     bool isDue(Offset applied, const LogPage &log, std::size_t rank, Instant now) const;
 
 private:
-    bool isPressing(const LogPage &log) const;
+    bool isNearExpiry(const LogPage &log) const;
 
     Settings m_settings;
     Offset m_newest = 0;
--- a/include/mulberryplank/policy/memberlist.h
+++ b/include/mulberryplank/policy/memberlist.h
@@ -32,15 +32,15 @@
 public:
     struct Entry {
         MemberUpdate state; // always with its description
-        Instant lastHeard {}; // when a message came from the member itself
+        Instant lastReceived {}; // when a message came from the member itself
         Instant deadline {}; // Suspect: taken for dead then. Dead: forgotten then
         std::uint8_t transmitsLeft = 0;
-        std::uint8_t indirectOnly = 0; // successive probes that only got an answer through others
+        std::uint8_t indirectOnlyProbes = 0; // successive probes that only got an answer through others
         bool queued = false;
-        bool describe = false; // pass on with the description
+        bool includeDescription = false; // pass on with the description
         bool leaving = false; // has announced that it leaves
-        bool accusedHere = false; // Suspect: by this process
-        bool ownJudgement = false; // accused while hearing nobody: kept to oneself
+        bool suspectedByThisProcess = false; // Suspect: by this process
+        bool isolatedSuspicion = false; // accused while hearing nobody: kept to oneself
     };
 
     MemberList(const Member &self, std::uint32_t transmitFactor, Duration forgetDeadAfter);
@@ -49,12 +49,12 @@
 
     // Commands.
 
-    // Merges an update. Returns true if it brought something new. `passOn` queues it for gossip.
-    bool merge(const MemberUpdate &update, bool passOn, Instant now);
+    // Merges an update. Returns true if it brought something new. `disseminate` queues it for gossip.
+    bool merge(const MemberUpdate &update, bool disseminate, Instant now);
 
     // Accuses a member of not answering until `deadline`, at which expireSuspicions() takes it for dead. An accusation
-    // of `ownJudgement` isn't passed on.
-    void suspect(Entry &entry, Instant deadline, bool ownJudgement);
+    // of `isolatedSuspicion` isn't passed on.
+    void suspect(Entry &entry, Instant deadline, bool isolatedSuspicion);
 
     // Takes every suspect for dead whose deadline has come.
     void expireSuspicions(Instant now);
@@ -63,7 +63,7 @@
     void declareDead(Entry &entry, Instant now);
 
     // Withdraws all accusations that were made while hearing nobody.
-    void withdrawOwnJudgements();
+    void withdrawIsolatedSuspicions();
 
     // Forgets the dead whose deadline has come.
     void forgetDead(Instant now);
@@ -72,11 +72,11 @@
     void postponeSuspicions(Duration by);
 
     // Raises the own counter, so that what is said of this process from now on overrides what others say.
-    void raiseOwnCounter();
+    void incrementOwnCounter();
     void setOwnState(MemberStatus status, Offset applied, bool ready);
 
     // Queues a member's state for gossip.
-    void queue(Entry &entry, bool describe);
+    void queue(Entry &entry, bool includeDescription);
 
     // Takes queued updates of at most `budget` bytes, then fills up with the state of up to `samples` random members.
     std::vector<MemberUpdate> takeUpdates(std::size_t budget, std::size_t samples, std::mt19937_64 &random);
@@ -100,7 +100,7 @@
     // Returns the number of members that aren't taken for dead, this process included.
     std::size_t liveCount() const;
 
-    bool hasNews() const;
+    bool hasUpdates() const;
     const std::vector<Incarnation> &suspects() const;
 
     // Returns a random member that isn't taken for dead, or nothing if there is none besides this process.
@@ -111,17 +111,17 @@
 
 private:
     bool mergeSelf(const MemberUpdate &update);
-    bool insert(const MemberUpdate &update, bool passOn, Instant now);
+    bool insert(const MemberUpdate &update, bool disseminate, Instant now);
     void setStatus(Entry &entry, MemberStatus status);
     void remove(std::size_t index);
-    Entry *randomWhere(std::mt19937_64 &random, bool dead);
+    Entry *randomByLiveness(std::mt19937_64 &random, bool dead);
 
     std::vector<Entry> m_entries; // this process first
     boost::unordered_flat_map<Incarnation, std::uint32_t> m_index;
     std::deque<Incarnation> m_queue;
     std::vector<Incarnation> m_suspects;
     std::vector<Incarnation> m_joined;
-    std::vector<Incarnation> m_ownJudgements;
+    std::vector<Incarnation> m_isolatedSuspicions;
     std::vector<MembershipEvent> m_events;
     std::size_t m_deadCount = 0;
     std::uint32_t m_transmitFactor;
--- a/include/mulberryplank/policy/membershipmessage.h
+++ b/include/mulberryplank/policy/membershipmessage.h
@@ -43,10 +43,10 @@
 
 enum class MembershipKind : std::uint8_t {
     Probe = 1, // to be answered at once
-    ProbeAnswer,
+    ProbeResponse,
     IndirectProbe, // asks the receiver to probe `subject` for the sender
-    IndirectAnswer, // `subject` answered the receiver's indirect probe
-    NotHere, // `subject` doesn't run at this address any more; the sender does
+    IndirectResponse, // `subject` answered the receiver's indirect probe
+    AddressReassigned, // `subject` doesn't run at this address any more; the sender does
     Gossip, // only carries updates
 };
 
@@ -56,7 +56,7 @@
     Incarnation subject = 0; // who is probed
     Endpoint subjectPeer; // IndirectProbe: where the subject listens
     Incarnation origin = 0; // on whose behalf the subject is probed
-    bool heardOrigin = false; // answers: the subject has heard from the origin recently
+    bool receivedFromOrigin = false; // answers: the subject has heard from the origin recently
     MemberUpdate sender;
     std::uint32_t liveCount = 0; // of the members that the sender knows
     std::vector<MemberUpdate> updates;
--- a/include/mulberryplank/policy/overload.h
+++ b/include/mulberryplank/policy/overload.h
@@ -8,10 +8,10 @@
 {
 
 struct OverloadSettings {
-    Duration longestWait = Millis(1'000); // of a request in a full queue at the present capacity
-    std::uint32_t leastQueue = 8; // waiting requests that are allowed at any capacity
-    std::uint32_t mostQueue = 4'096; // waiting requests that are allowed at most: bounds memory
-    Duration growTime = Seconds(2); // that the bound takes to double when capacity returns
+    Duration maxWait = Millis(1'000); // of a request in a full queue at the present capacity
+    std::uint32_t minQueue = 8; // waiting requests that are allowed at any capacity
+    std::uint32_t maxQueue = 4'096; // waiting requests that are allowed at most: bounds memory
+    Duration doublingTime = Seconds(2); // that the bound takes to double when capacity returns
 };
 
 // Works out how many requests of a service may wait in this process, from what its targets can serve. The bound falls
--- a/include/mulberryplank/policy/probeplan.h
+++ b/include/mulberryplank/policy/probeplan.h
@@ -25,8 +25,8 @@
     explicit ProbePlan(ProbePlanSettings settings);
 
     // Returns the proxies that probe `target`, first the one that always does; the second only while views disagree.
-    // Empty when there are no carriers.
-    std::vector<PeerId> probers(const std::vector<PeerId> &carriers, TargetId target, bool viewsDisagree) const;
+    // Empty when there are no assignedProxies.
+    std::vector<PeerId> probers(const std::vector<PeerId> &assignedProxies, TargetId target, bool viewsDisagree) const;
 
     // Returns the time between two probes of one prober, such that `proberCount` probers stay within the load share.
     Duration interval(std::size_t proberCount) const;
--- a/include/mulberryplank/policy/recordtail.h
+++ b/include/mulberryplank/policy/recordtail.h
@@ -11,12 +11,12 @@
 {
 
 // Consecutive records of the config stream on their way from one reader to another.
-struct ConfigNews {
+struct ConfigUpdate {
     Offset from = 0; // of the first record
     RecordDigest before {}; // of the record before `from`: tells whether both readers follow the same log
     std::vector<std::string> records;
 
-    bool operator==(const ConfigNews &) const = default;
+    bool operator==(const ConfigUpdate &) const = default;
 };
 
 // The last records that a reader has applied, kept for peers that lag behind it a little. Bounded in bytes. Not
@@ -30,7 +30,7 @@
     void add(Offset offset, const RecordDigest &before, std::string record);
 
     // Returns the records from `from` on, or nothing when the tail doesn't reach back so far.
-    std::optional<ConfigNews> since(Offset from) const;
+    std::optional<ConfigUpdate> since(Offset from) const;
 
 private:
     struct Entry {
--- a/include/mulberryplank/policy/attempts.h
+++ b/include/mulberryplank/policy/requestplan.h
@@ -11,7 +11,7 @@
 
 #include "mulberryplank/base/errorkind.h"
 #include "mulberryplank/base/time.h"
-#include "mulberryplank/policy/bodyresume.h"
+#include "mulberryplank/policy/bodyprogress.h"
 #include "mulberryplank/policy/deadline.h"
 #include "mulberryplank/policy/retrybudget.h"
 #include "mulberryplank/policy/targethealth.h"
@@ -26,11 +26,11 @@
 enum class StepKind : std::uint8_t {
     Start, // pick a target outside excluded() and send the request to it
     Cancel, // end the attempt and close its connection at once; after a shed whose answer was read it may be kept
-    PassHeader, // pass the attempt's answer header on to the caller, then its body
+    ForwardHeader, // pass the attempt's answer header on to the caller, then its body
     ContinueBody, // pass the attempt's body on as the rest of the answer; its header is not passed on
     Finish, // the whole answer was passed on; `reusable`: as far as the answer goes the connection may be kept
     AbortCaller, // close the caller's connection in the middle of the answer, never ending it as if complete
-    Answer, // answer the caller with `error`; no byte of an answer was passed on before
+    Respond, // answer the caller with `error`; no byte of an answer was passed on before
 };
 
 struct Step {
@@ -41,35 +41,35 @@
     bool hedge = false; // Start: runs beside another attempt
     AttemptResult result = AttemptResult::Cancelled; // Cancel: evidence about the target
     bool reusable = false; // Finish
-    ErrorKind error = ErrorKind::Internal; // Answer, AbortCaller
-    Outcome outcome = Outcome::Unknown; // Answer, AbortCaller: at least as strong as the table's claim for `error`
-    bool repeatIsSafe = false; // Answer, AbortCaller
-    int retryAfterSeconds = 0; // Answer: 0: no Retry-After
+    ErrorKind error = ErrorKind::Internal; // Respond, AbortCaller
+    Outcome outcome = Outcome::Unknown; // Respond, AbortCaller: at least as strong as the table's claim for `error`
+    bool repeatIsSafe = false; // Respond, AbortCaller
+    int retryAfterSeconds = 0; // Respond: 0: no Retry-After
 };
 
 // Steps are to be carried out in order. At most two attempts run at a time, which bounds their number.
-inline constexpr std::size_t MostSteps = 4;
-using Steps = boost::container::static_vector<Step, MostSteps>;
+inline constexpr std::size_t MaxSteps = 4;
+using Steps = boost::container::static_vector<Step, MaxSteps>;
 
 // The header of a target's answer, as far as decisions need it.
-struct AnswerHeader {
+struct ResponseSummary {
     BodyHeader body;
     std::optional<std::string> requestId; // X-Request-Id of the answer
-    bool mustEcho = false; // the target is known to echo X-Request-Id, so that its absence is a mismatch
+    bool echoesRequestId = false; // the target is known to echo X-Request-Id, so that its absence is a mismatch
     bool notRun = false; // X-Not-Run: 1
     int retryAfterSeconds = 0; // Retry-After; 0: none
 };
 
-struct PlanSettings {
+struct RequestPlanSettings {
     std::string requestId; // chosen by the proxy, never taken from the caller
     bool idempotent = false; // of the route
     bool resumable = false; // the method is GET
     Deadline deadline; // of the whole request
-    bool deadlineIsCallers = false; // shorter than the route's timeout, so that missing it says nothing of the target
+    bool deadlineFromCaller = false; // shorter than the route's timeout, so that missing it says nothing of the target
     Duration progressTimeout {}; // the most that the target may pause within a body
     std::optional<Duration> hedgeDelay {}; // HedgeDelay::delay() of the route; nothing: no hedging
-    std::uint32_t mostAttempts = 3; // resumes not counted
-    std::uint32_t mostResumes = 5;
+    std::uint32_t maxAttempts = 3; // resumes not counted
+    std::uint32_t maxResumes = 5;
     BackoffSettings backoff {};
     std::uint32_t seed = 1; // for the backoff's jitter
 };
@@ -80,13 +80,13 @@
 //   that it did not run it;
 // - outcome NotRun is said only when no target can have run the request;
 // - the bytes passed on belong to this request, the first answer header wins, and Finish means that all of them came;
-// - after PassHeader the caller's side sees nothing but ContinueBody, Finish or AbortCaller.
+// - after ForwardHeader the caller's side sees nothing but ContinueBody, Finish or AbortCaller.
 // Events of attempts that were cancelled or have ended, late or twice, change nothing. Not thread-safe.
 class RequestPlan
 {
 public:
     // `spendRetry` takes a token for one extra attempt and says whether there was one: RetryBudget::trySpend().
-    RequestPlan(PlanSettings settings, std::function<bool()> spendRetry);
+    RequestPlan(RequestPlanSettings settings, std::function<bool()> spendRetry);
     RequestPlan(const RequestPlan &) = delete;
     RequestPlan &operator=(const RequestPlan &) = delete;
 
@@ -95,31 +95,31 @@
 
     // A target was picked for a Start, and a connection to it is at hand or about to be opened. The attempt's time
     // counts from here.
-    void onTarget(AttemptNumber attempt, TargetIndex target, bool reusedConnection, Instant now);
+    void onTargetSelected(AttemptNumber attempt, TargetIndex target, bool reusedConnection, Instant now);
 
-    // No target could be had for a Start; `why` is the refusal, its table row must say NotRun.
-    Steps onNoTarget(AttemptNumber attempt, ErrorKind why, int retryAfterSeconds);
+    // No target could be had for a Start; `error` is the refusal, its table row must say NotRun.
+    Steps onNoTarget(AttemptNumber attempt, ErrorKind error, int retryAfterSeconds);
 
     // To be called before the first byte of the request is handed to the attempt's socket. False: the attempt was
     // cancelled in the meantime and no byte may be sent.
     [[nodiscard]] bool onSending(AttemptNumber attempt);
 
     // Bytes of the request's body were let go after sending, so the request can't be sent again.
-    void onRequestBodyDropped();
+    void onRequestBodyDiscarded();
 
     // The attempt's connection failed: ConnectFailed, Reset, Timeout (of connecting) or Mismatched (bytes that are no
     // answer to it).
     Steps onFailed(AttemptNumber attempt, AttemptResult result, Instant now);
 
     // The final header (not 1xx) of the attempt's answer has come.
-    Steps onHeader(AttemptNumber attempt, const AnswerHeader &header, Instant now);
+    Steps onHeader(AttemptNumber attempt, const ResponseSummary &header, Instant now);
 
-    // `bytes` of body were read. Returns how many of them to pass on to the caller; then call onPassedOn().
+    // `bytes` of body were read. Returns how many of them to pass on to the caller; then call onForwarded().
     std::uint64_t onBody(AttemptNumber attempt, std::uint64_t bytes);
 
     // What was to be passed on, header or body, has reached the caller's socket and the target is read again. The
     // progress timeout counts from here, so that a slow caller isn't taken for a stalled target.
-    Steps onPassedOn(AttemptNumber attempt, Instant now);
+    Steps onForwarded(AttemptNumber attempt, Instant now);
 
     // The attempt's body has ended as its framing tells; all of it was passed on.
     Steps onBodyEnd(AttemptNumber attempt, Instant now);
@@ -128,7 +128,7 @@
     Steps onTargetDraining(AttemptNumber attempt, Instant now);
 
     // The caller closed its connection: running attempts are cancelled.
-    Steps onCallerGone();
+    Steps onCallerDisconnected();
 
     // Returns when onTimer() is to be called next; nothing once the request is done. May move after every event.
     std::optional<Instant> wakeAt() const;
@@ -143,7 +143,7 @@
     // one is never taken for another's.
     std::string attemptRequestId(AttemptNumber attempt) const;
 
-    // Returns true once Finish, AbortCaller or Answer was given or the caller has gone.
+    // Returns true once Finish, AbortCaller or Respond was given or the caller has gone.
     bool done() const;
 
     // Returns what can be said of the request now.
@@ -153,7 +153,7 @@
     AttemptNumber attempts() const;
 
 private:
-    struct Running {
+    struct RunningAttempt {
         AttemptNumber number = 0;
         std::optional<TargetIndex> target;
         bool reusedConnection = false;
@@ -163,14 +163,14 @@
     };
     enum class Phase : std::uint8_t {
         Waiting, // for an answer's header
-        Passing, // an answer on to the caller
+        Forwarding, // an answer on to the caller
         Done,
     };
 
-    Running *find(AttemptNumber attempt);
+    RunningAttempt *find(AttemptNumber attempt);
     bool mayStartAgain(Instant now) const;
     bool hedgePossible() const;
-    bool isMismatch(AttemptNumber attempt, const AnswerHeader &header) const;
+    bool isMismatch(AttemptNumber attempt, const ResponseSummary &header) const;
     AttemptResult timeoutResult() const;
 
     void startAttempt(std::optional<TargetIndex> sameTarget, bool hedge, Steps &steps);
@@ -179,43 +179,43 @@
     void remove(AttemptNumber attempt, bool notRun);
     void cancel(AttemptNumber attempt, AttemptResult result, Steps &steps);
     void cancelAll(AttemptResult result, Steps &steps);
-    void noteFailure(const Running &attempt, AttemptResult result);
+    void recordFailure(const RunningAttempt &attempt, AttemptResult result);
 
-    void judgeHeader(Running &attempt, const AnswerHeader &header, Instant now, Steps &steps);
-    void judgeRest(Running &attempt, const AnswerHeader &header, Instant now, Steps &steps);
-    void accept(Running &attempt, const AnswerHeader &header, Steps &steps);
-    void fail(Running &attempt, AttemptResult result, Instant now, Steps &steps);
+    void evaluateHeader(RunningAttempt &attempt, const ResponseSummary &header, Instant now, Steps &steps);
+    void evaluateResumeHeader(RunningAttempt &attempt, const ResponseSummary &header, Instant now, Steps &steps);
+    void accept(RunningAttempt &attempt, const ResponseSummary &header, Steps &steps);
+    void fail(RunningAttempt &attempt, AttemptResult result, Instant now, Steps &steps);
     void afterFailure(Instant now, Steps &steps);
     void resumeOrAbort(Instant now, Steps &steps);
     void finish(Steps &steps);
-    void giveUp(Steps &steps);
+    void respondWithError(Steps &steps);
     void abortCaller(Steps &steps);
 
     void onDeadline(Steps &steps);
     bool onAttemptTimeout(Instant now, Steps &steps);
 
-    PlanSettings m_settings;
+    RequestPlanSettings m_settings;
     std::function<bool()> m_spendRetry;
     std::minstd_rand m_random;
     Phase m_phase = Phase::Waiting;
-    AttemptNumber m_passing = 0; // the attempt whose body is passed on
-    bool m_answered = false; // Finish was given
-    boost::container::static_vector<Running, 2> m_running;
+    AttemptNumber m_forwardedAttempt = 0; // the attempt whose body is passed on
+    bool m_finished = false; // Finish was given
+    boost::container::static_vector<RunningAttempt, 2> m_running;
     std::vector<TargetIndex> m_excluded;
     AttemptNumber m_started = 0;
-    std::uint32_t m_tries = 0; // attempts but for resumes
+    std::uint32_t m_attemptsWithoutResumes = 0; // attempts but for resumes
     std::uint32_t m_resumes = 0;
     unsigned m_retries = 0;
     std::optional<Instant> m_retryAt; // a retry or resume waits until then
-    std::optional<Instant> m_stallAt; // the target must have sent something by then
+    std::optional<Instant> m_stallTimeoutAt; // the target must have sent something by then
     bool m_mayHaveRun = false; // an attempt ended of which that can't be ruled out
-    bool m_bodyDropped = false;
+    bool m_requestBodyDiscarded = false;
     bool m_hedgeRefused = false;
     bool m_reconnected = false; // the one fresh connection in place of a stale one was used up
-    bool m_overrun = false; // the target sent more than its body
+    bool m_receivedExcessBytes = false; // the target sent more than its body
     std::optional<BodyProgress> m_progress;
-    ErrorKind m_notRunKind = ErrorKind::NoTarget; // the last failure that left the request not run
-    ErrorKind m_unknownKind = ErrorKind::TargetTimeout; // the last failure after which it may have run
+    ErrorKind m_notRunError = ErrorKind::NoTarget; // the last failure that left the request not run
+    ErrorKind m_unknownOutcomeError = ErrorKind::TargetTimeout; // the last failure after which it may have run
     int m_retryAfterSeconds = 0;
 };
 
--- a/include/mulberryplank/policy/routestatistics.h
+++ b/include/mulberryplank/policy/routestatistics.h
@@ -14,7 +14,7 @@
 {
 public:
     // An attempt was answered with success.
-    void add(Duration latency, std::size_t answerBytes);
+    void add(Duration latency, std::size_t responseBytes);
 
     // Returns the mean latency in seconds, or 0 before the first answer.
     double meanSeconds() const;
--- a/include/mulberryplank/policy/routetable.h
+++ b/include/mulberryplank/policy/routetable.h
@@ -16,8 +16,8 @@
 // What may be done again with a request when its outcome is unknown.
 enum class RouteKind : std::uint8_t {
     Idempotent, // may run more than once
-    Once, // may run at most once
-    LargeAnswer, // idempotent, and the answer is large enough for its way through the network to matter
+    NonIdempotent, // may run at most once
+    LargeResponse, // idempotent, and the answer is large enough for its way through the network to matter
 };
 
 std::string_view toString(RouteKind kind);
@@ -25,7 +25,7 @@
 // Returns true if a request of this kind may run more than once.
 constexpr bool isIdempotent(RouteKind kind)
 {
-    return kind != RouteKind::Once;
+    return kind != RouteKind::NonIdempotent;
 }
 
 // One of the services among which a route's requests are divided.
@@ -40,11 +40,11 @@
 struct HostRoute {
     std::string name;
     std::string pathPrefix; // begins and ends with a slash
-    RouteKind kind = RouteKind::Once;
+    RouteKind kind = RouteKind::NonIdempotent;
     Duration timeout {}; // the longest that a request may be kept waiting
     Duration targetLatency {}; // within which an answer is worth most
     std::uint32_t priority = 0; // 0 is the most urgent
-    std::uint32_t mostAttempts = 1; // targets that one request may be sent to
+    std::uint32_t maxAttempts = 1; // targets that one request may be sent to
     std::vector<WeightedService> services; // at least one
 
     bool operator==(const HostRoute &) const = default;
--- a/include/mulberryplank/policy/seqwindow.h
+++ b/include/mulberryplank/policy/seqwindow.h
@@ -54,7 +54,7 @@
 
     std::size_t m_capacity;
     std::unordered_map<Incarnation, Sender> m_senders;
-    boost::intrusive::list<Sender> m_byUse; // the latest heard from first
+    boost::intrusive::list<Sender> m_byLastReceived; // the latest heard from first
 };
 
 } // namespace mulberryplank
--- a/include/mulberryplank/policy/storeretry.h
+++ b/include/mulberryplank/policy/storeretry.h
@@ -17,9 +17,9 @@
     Duration most = Millis(500);
     // How many calls all processes that share the tries make in a second. The first one that succeeds tells the others,
     // so a store that answers any of them again is found within some hundred milliseconds.
-    double sharedPerSecond = 8;
+    double sharedCallsPerSecond = 8;
     // The longest pause of one of those, so that a hint that is lost costs no more.
-    Duration mostShared = Seconds(5);
+    Duration maxSharedDelay = Seconds(5);
 };
 
 // Decides when a process may call the store again after failures. Not synchronized.
@@ -29,9 +29,9 @@
     // `phase`, from 0 to 1, keeps processes apart that failed in the same moment.
     StoreRetry(StoreRetrySettings settings, double phase);
 
-    // Returns true if the store may be called now. `sharing`: how many processes, this one among them, try for each
-    // other at the moment; 0: nobody else does, or this one is who the others rely on.
-    bool mayTry(Instant now, std::size_t sharing) const;
+    // Returns true if the store may be called now. `sharingProcesses`: how many processes, this one among them, try for
+    // each other at the moment; 0: nobody else does, or this one is who the others rely on.
+    bool mayTry(Instant now, std::size_t sharingProcesses) const;
 
     // A call has failed.
     void onFailure(Instant now);
@@ -40,7 +40,7 @@
     void reset();
 
 private:
-    Duration pauseAfter(std::size_t sharing) const;
+    Duration delayFor(std::size_t sharingProcesses) const;
 
     const StoreRetrySettings m_settings;
     const double m_phase;
--- a/include/mulberryplank/policy/targetbalancer.h
+++ b/include/mulberryplank/policy/targetbalancer.h
@@ -8,9 +8,9 @@
 #include <unordered_map>
 #include <vector>
 
+#include "mulberryplank/policy/faultmodel.h"
 #include "mulberryplank/policy/routestatistics.h"
 #include "mulberryplank/policy/routetable.h"
-#include "mulberryplank/policy/sicknessmodel.h"
 #include "mulberryplank/policy/targetdirectory.h"
 #include "mulberryplank/policy/targethealth.h"
 
@@ -37,7 +37,7 @@
 };
 
 // What is known of a request that a target is chosen for.
-struct ChooseTarget {
+struct TargetSelection {
     const HostRoute *route = nullptr; // must not be nullptr
     std::vector<TargetName> excluded; // tried before
     std::function<bool(const Endpoint &)> connected; // whether a connection to the target is at hand
@@ -46,10 +46,10 @@
 };
 
 // How an attempt ended.
-struct AttemptEnd {
+struct AttemptOutcome {
     AttemptResult result = AttemptResult::Success;
     Duration latency {}; // until the answer's last byte, or until it failed
-    std::size_t answerBytes = 0;
+    std::size_t responseBytes = 0;
     std::optional<ReportedLoad> load;
 };
 
@@ -69,7 +69,7 @@
     TargetName id;
     FailureDomain failureDomain;
     bool suspected = false;
-    double belief = 0; // the likelihood that it is sick
+    double faultProbability = 0; // the likelihood that it is sick
     AttemptResult evidence = AttemptResult::Success; // the attempt's end that decided it, here or at another proxy
 };
 
@@ -98,13 +98,13 @@
 // the risk that the attempt fails, weighed by what a failure costs a request of this kind; plus the bill for bytes that
 // cross failure domains.
 //
-// The risk comes from a SicknessModel: where many targets turn sick, requests stay with those that have answered
+// The risk comes from a FaultModel: where many targets turn sick, requests stay with those that have responded
 // lately, and where none do, old evidence costs nothing. No target is ever ruled out: when the others are
 // full, suspects are used, so that sick targets can't take healthy capacity with them. A request that may run only once
 // pays most for risk, so suspects are tried with idempotent requests first.
 //
-// Some requests go to targets that nobody has used for a while: else the few that seem well would get everything, and
-// what was avoided once would stay unknown. Not synchronized.
+// Some requests go to targets that nobody has used for a while: else the few that seem healthy would get everything,
+// and what was avoided once would stay unknown. Not synchronized.
 class TargetBalancer
 {
 public:
@@ -122,40 +122,40 @@
     void setListFresh(bool fresh);
 
     // Returns the target for a request, or nothing when there is none that takes new work.
-    std::optional<ChosenTarget> choose(const ChooseTarget &wanted, Instant now);
+    std::optional<ChosenTarget> choose(const TargetSelection &selection, Instant now);
 
     // An attempt begins at a target that choose() gave.
     void begin(const TargetName &id, const HostRoute &route, Instant now);
 
-    // An attempt has ended. `started` is the time given to begin(). Returns what the other proxies should learn of it
-    // at once, as the logarithm of what the odds of sickness are multiplied by, or nothing if it can wait for
-    // takeNews().
+    // An attempt has ended. `started` is the time given to begin(). Returns what the other proxies should
+    // updateEstimate of it at once, as the logarithm of what the odds of sickness are multiplied by, or nothing if it
+    // can wait for takeUpdates().
     std::optional<double> end(
-        const TargetName &id, const HostRoute &route, Instant started, const AttemptEnd &end, Instant now);
+        const TargetName &id, const HostRoute &route, Instant started, const AttemptOutcome &end, Instant now);
 
     // Returns when the other proxies should be told next that an attempt has no answer yet, or nothing.
-    std::optional<Instant> nextSilence(const TargetName &id, Instant started) const;
+    std::optional<Instant> nextNoResponseReport(const TargetName &id, Instant started) const;
 
-    // Takes what an attempt's silence says by now into the belief, and returns what is new in it for the other proxies,
-    // as end() does.
-    std::optional<double> takeSilence(const TargetName &id, Instant started, Instant now);
+    // Takes what an attempt's silence says by now into the faultProbability, and returns what is new in it for the
+    // other proxies, as end() does.
+    std::optional<double> takeNoResponseEvidence(const TargetName &id, Instant started, Instant now);
 
-    // Another proxy has seen an attempt begin, stay without an answer or end at a target, and learnt from it what end()
-    // or takeSilence() returned. `usedAt` is when it sent the target a request last.
-    void noteRemote(const TargetName &id, AttemptResult result, double logRatio, Instant usedAt, Instant now);
+    // Another proxy has seen an attempt begin, stay without an answer or end at a target, and applied from it what
+    // end() or takeNoResponseEvidence() returned. `usedAt` is when it sent the target a request last.
+    void addRemoteEvidence(const TargetName &id, AttemptResult result, double logRatio, Instant usedAt, Instant now);
 
     // What the other proxies should know of a target.
-    struct News {
+    struct Update {
         TargetName id;
-        bool answered = false; // with success; otherwise it has only been sent something
+        bool responded = false; // with success; otherwise it has only been sent something
         Instant usedAt {}; // when it was sent something last, by any proxy
     };
 
-    // Returns the targets that have answered or been sent something since the last call.
-    std::vector<News> takeNews();
+    // Returns the targets that have responded or been sent something since the last call.
+    std::vector<Update> takeUpdates();
 
-    // The target's address answers under another id, so the target has gone.
-    void noteGone(const TargetName &id);
+    // The target's address answers under another id, so the target has removed.
+    void markRemoved(const TargetName &id);
 
     // Returns the latency that `share` (0 to 1) of the route's recent successes didn't exceed, or nothing before there
     // are enough of them.
@@ -169,26 +169,26 @@
 
 private:
     // An attempt under way.
-    struct Pending {
+    struct PendingAttempt {
         Instant started;
         const RouteStatistics *statistics = nullptr; // of its route
         Duration assumedMean {}; // while these have too few answers
         double slowness = 1; // how much longer than the route's requests it is expected to take at this target
         std::size_t step = 0; // of the silence that the others have been told
-        double learnt = 0; // from its silence, as a log ratio, and in the belief already
+        double applied = 0; // from its silence, as a log ratio, and in the faultProbability already
     };
     struct Entry {
         ListedTarget listed;
-        bool gone = false;
+        bool removed = false;
         double offset = 0; // in parts of a request's time, drawn by this process alone
-        std::vector<Pending> pending;
-        SicknessBelief belief;
+        std::vector<PendingAttempt> pending;
+        FaultEstimate faultProbability;
         bool suspected = false; // as told to the hook
-        bool answered = false; // since takeNews()
+        bool responded = false; // since takeUpdates()
         bool used = false; // likewise
         double slowness = 1; // latency relative to the route's mean
         Instant slownessAt {};
-        Instant lastAnswer {}; // to any proxy, as far as this one knows
+        Instant lastResponse {}; // to any proxy, as far as this one knows
         double othersLoad = 0; // requests of other callers, as reported
         Instant reportedAt {};
         Instant lastUsed {}; // by any proxy, as far as this one knows
@@ -196,38 +196,41 @@
     // Targets that nobody has used for a while, of those that a request may go to.
     struct Unused {
         std::vector<const Entry *> targets;
-        double wellUnused = 0; // how many of them are well, as far as is known
-        double well = 0; // the same of all that there are to go to, used or not
+        double healthyUnused = 0; // how many of them are healthy, as far as is known
+        double healthy = 0; // the same of all that there are to go to, used or not
         std::size_t all = 0; // how many of these there are
     };
     double riskOf(const Entry &entry, Instant now) const;
-    static double survivalOf(const Pending &pending, Instant now);
-    static double silenceOf(const Pending &pending, Instant now);
-    double beliefOf(const Entry &entry, Instant now) const;
+    static double survivalOf(const PendingAttempt &pending, Instant now);
+    static double noResponseEvidence(const PendingAttempt &pending, Instant now);
+    double faultProbabilityOf(const Entry &entry, Instant now) const;
     double loadOf(const Entry &entry, Instant now) const;
     double slownessOf(const Entry &entry, Instant now) const;
     double expectedSeconds(const Entry &entry, double meanSeconds, Instant now) const;
-    double costOf(const Entry &entry, const ChooseTarget &wanted, const RouteStatistics &statistics, Instant now) const;
-    Unused unusedFor(const ChooseTarget &wanted, Instant now) const;
-    bool isDoubtful(const Entry &entry, Instant now) const;
-    static void preferConnected(std::vector<const Entry *> &targets, const ChooseTarget &wanted);
-    const Entry *chooseUnused(const ChooseTarget &wanted, Instant now);
-    const Entry *fromLeastRisky(std::vector<const Entry *> targets, Instant now);
-    bool mayTake(const Entry &entry, const ChooseTarget &wanted) const;
+    double costOf(const Entry &entry,
+                  const TargetSelection &selection,
+                  const RouteStatistics &statistics,
+                  Instant now) const;
+    Unused unusedFor(const TargetSelection &selection, Instant now) const;
+    bool hasRaisedRisk(const Entry &entry, Instant now) const;
+    static void preferConnected(std::vector<const Entry *> &targets, const TargetSelection &selection);
+    const Entry *chooseUnused(const TargetSelection &selection, Instant now);
+    const Entry *pickLeastRisky(std::vector<const Entry *> targets, Instant now);
+    bool isEligible(const Entry &entry, const TargetSelection &selection) const;
     ChosenTarget chosen(const Entry &entry, const HostRoute &route, Instant now) const;
     const RouteStatistics &statisticsOf(const HostRoute &route) const;
-    Pending *pendingOf(const TargetName &id, Instant started);
-    const Pending *pendingOf(const TargetName &id, Instant started) const;
-    void learn(Entry &entry, AttemptResult result, double logRatio, Instant now);
-    void tellSuspicion(Entry &entry, AttemptResult evidence);
-    void noteSuccess(Entry &entry, RouteStatistics &statistics, const AttemptEnd &end, Instant now);
+    PendingAttempt *pendingOf(const TargetName &id, Instant started);
+    const PendingAttempt *pendingOf(const TargetName &id, Instant started) const;
+    void updateEstimate(Entry &entry, AttemptResult result, double logRatio, Instant now);
+    void reportSuspicion(Entry &entry, AttemptResult evidence);
+    void recordSuccess(Entry &entry, RouteStatistics &statistics, const AttemptOutcome &end, Instant now);
 
     BalancerSettings m_settings;
     std::mt19937_64 m_random;
     SuspicionHook m_suspicionChanged;
     RestartHook m_restarted;
     bool m_listFresh = false;
-    SicknessModel m_model;
+    FaultModel m_model;
     std::unordered_map<TargetName, Entry> m_targets;
     std::unordered_map<std::string, RouteStatistics> m_routes;
 };
--- a/include/mulberryplank/policy/targetchooser.h
+++ b/include/mulberryplank/policy/targetchooser.h
@@ -33,7 +33,7 @@
 };
 
 // Returns true if choose() would give the target to a request of any kind that doesn't exclude it.
-bool takesWork(const TargetView &target);
+bool acceptsRequests(const TargetView &target);
 
 // Returns the target that the request should go to, or nothing when no target may take it now. Draws two candidates at
 // random, by weight, and takes the one that is expected to answer first. Ejected and draining targets are never chosen;
--- a/include/mulberryplank/policy/targetdirectory.h
+++ b/include/mulberryplank/policy/targetdirectory.h
@@ -76,7 +76,7 @@
 
 private:
     bool withinGrace(Instant now) const;
-    void noteChange(const TargetName &id);
+    void recordChange(const TargetName &id);
 
     Duration m_returnGrace;
     std::optional<Instant> m_returnedAt;
--- a/include/mulberryplank/policy/targethealth.h
+++ b/include/mulberryplank/policy/targethealth.h
@@ -135,7 +135,7 @@
     // Tells how long requests at `target` have been waiting for the first byte of an answer: the oldest one's age, and
     // how many have waited at least half as long (the oldest included). To be called with each tick for targets with
     // requests under way, so that a target that accepts and hangs is noticed before anything times out.
-    void outstanding(TargetIndex target, Duration oldestAge, Instant now, std::uint32_t waiting = 1);
+    void observeOutstanding(TargetIndex target, Duration oldestAge, Instant now, std::uint32_t waiting = 1);
 
     // Decides. To be called about 10 times a second.
     void tick(Instant now);
--- a/include/mulberryplank/policy/targetlifecycle.h
+++ b/include/mulberryplank/policy/targetlifecycle.h
@@ -13,18 +13,18 @@
 
 struct LifecycleSettings {
     Duration firstEjection = Millis { 5'000 }; // doubled for each further one
-    Duration longestEjection = Millis { 300'000 };
+    Duration maxEjection = Millis { 300'000 };
     Duration slowStart = Millis { 10'000 };
     Duration trialLimit = Millis { 30'000 }; // a trial that nothing tested ends as passed
 };
 
 // What is thought of a target at one tick.
-struct Judgement {
-    double suspicion = 0; // as a share of what ejects: 1 and up is sick
-    bool sick = false; // enough to eject
+struct TargetAssessment {
+    double suspicion = 0; // as a share of what ejects: 1 and up is faulty
+    bool faulty = false; // enough to eject
     bool mayEject = false; // the floor allows it now
-    bool reduces = true; // its weight may be lowered
-    bool mayTry = true; // an ejection that has lasted long enough may end in a trial
+    bool mayReduceWeight = true; // its weight may be lowered
+    bool mayStartTrial = true; // an ejection that has lasted long enough may end in a trial
 };
 
 // Leads one target through its phases: less weight, ejection, trial, slow start. Not synchronized.
@@ -40,7 +40,7 @@
     void setCold(bool cold, Instant now);
 
     // Moves on by one tick; returns what happened, if anything. `random` spreads the length of ejections.
-    std::optional<Event> judge(const Judgement &judgement, Instant now, std::mt19937_64 &random);
+    std::optional<Event> assess(const TargetAssessment &assessment, Instant now, std::mt19937_64 &random);
 
     // Takes in the outcome of a request on trial; `latencyStep` is Detector::latencyStep(). To be called in Trial only.
     void observeTrial(bool error, double latencyStep);
@@ -66,13 +66,13 @@
     std::uint32_t timesEjected() const;
 
 private:
-    std::optional<Event> inService(const Judgement &judgement, Instant now, std::mt19937_64 &random);
-    std::optional<Event> outOfService(const Judgement &judgement, Instant now, std::mt19937_64 &random);
-    std::optional<Event> inSlowStart(const Judgement &judgement, Instant now, std::mt19937_64 &random);
+    std::optional<Event> inService(const TargetAssessment &assessment, Instant now, std::mt19937_64 &random);
+    std::optional<Event> outOfService(const TargetAssessment &assessment, Instant now, std::mt19937_64 &random);
+    std::optional<Event> inSlowStart(const TargetAssessment &assessment, Instant now, std::mt19937_64 &random);
     Event eject(Instant now, std::mt19937_64 &random);
     double suspectedWeight(Instant now) const;
     void enter(TargetPhase phase, Instant now);
-    void forgetEjections(Instant now);
+    void expireEjections(Instant now);
 
     LifecycleSettings m_settings;
     TargetPhase m_phase = TargetPhase::Healthy;
@@ -81,9 +81,9 @@
     bool m_cold = false;
     bool m_returning = false; // the slow start follows an ejection
     bool m_waitsForFloor = false;
-    bool m_reduces = true;
+    bool m_mayReduceWeight = true;
     Duration m_ejectionLength {};
-    Instant m_forgetAt {};
+    Instant m_ejectionExpiresAt {};
     Instant m_suspectedUntil {}; // after an ejection that was cut short
     std::uint32_t m_timesEjected = 0;
     std::uint32_t m_trialAttempts = 0;
--- a/include/mulberryplank/policy/windowbudget.h
+++ b/include/mulberryplank/policy/windowbudget.h
@@ -9,12 +9,13 @@
 namespace mulberryplank
 {
 
-// How many extra attempts a service may get in a sliding window: `ratio` of its requests and `slack` besides. Both hold
-// for the whole fleet; a process spends `ratio` of the requests that it has itself and its share of the slack.
+// How many extra attempts a service may get in a sliding window: `ratio` of its requests and `fixedAllowance` besides.
+// Both hold for the whole fleet; a process spends `ratio` of the requests that it has itself and its share of the
+// fixedAllowance.
 struct WindowBudgetSettings {
     double ratio = 0.2;
     Duration window = Seconds(10);
-    double slack = 10; // of this process
+    double fixedAllowance = 10; // of this process
 };
 
 // Counts a service's requests and extra attempts over a sliding window of ten buckets. A part that lies idle can be
@@ -24,8 +25,8 @@
 public:
     explicit WindowBudget(WindowBudgetSettings settings);
 
-    // Changes the slack, which follows the number of processes that share it.
-    void setSlack(double slack);
+    // Changes the fixedAllowance, which follows the number of processes that share it.
+    void setFixedAllowance(double fixedAllowance);
 
     // A request has arrived.
     void onRequest(Instant now);
--- a/include/mulberryplank/state/configstate.h
+++ b/include/mulberryplank/state/configstate.h
@@ -48,7 +48,7 @@
 
     // Applies those of the records that are new and returns their outcomes. Errors: NotReady when records before them
     // are missing; Conflict when they come from another log than what was applied.
-    Result<std::vector<EditOutcome>> learn(const ConfigNews &news);
+    Result<std::vector<EditOutcome>> learn(const ConfigUpdate &news);
 
     // Takes over a table from a snapshot. Conflict unless it is newer than what was applied, or when it comes from
     // another log.
@@ -79,7 +79,7 @@
     std::optional<EditOutcome> outcomeOf(const EditId &id) const;
 
     // Returns the records from `from` on, or nothing when they aren't kept any more or there are none yet.
-    std::optional<ConfigNews> newsSince(Offset from) const;
+    std::optional<ConfigUpdate> newsSince(Offset from) const;
 
     // Returns the services that edits from `from` on may have changed, each once, or nothing when that isn't known any
     // more: then it may be any.
--- a/src/app/carriedservices.cpp
+++ b/src/app/assignedservices.cpp
@@ -1,4 +1,4 @@
-#include "carriedservices.h"
+#include "assignedservices.h"
 
 #include <algorithm>
 #include <mutex>
@@ -13,11 +13,11 @@
 // A service that has moved away is served for as long as callers may still come on the strength of an old answer.
 constexpr int ReleaseAfterLifetimes = 2;
 
-std::vector<CarrierPeer> carrierPeers(const std::vector<Member> &members)
+std::vector<AssignedPeer> assignedPeers(const std::vector<Member> &members)
 {
-    std::vector<CarrierPeer> peers;
+    std::vector<AssignedPeer> peers;
     for (const Member &member : members) {
-        peers.push_back(CarrierPeer { PeerId { member.vm, member.incarnation }, member.peer });
+        peers.push_back(AssignedPeer { PeerId { member.vm, member.incarnation }, member.peer });
     }
     std::sort(peers.begin(), peers.end());
     return peers;
@@ -25,15 +25,15 @@
 
 } // namespace internal
 
-CarriedServices::CarriedServices(ServiceRegistry &services,
-                                 ConfigState &config,
-                                 CarriersHook onCarriers,
-                                 Member self,
-                                 PlacementSettings settings,
-                                 EventSink events)
+AssignedServices::AssignedServices(ServiceRegistry &services,
+                                   ConfigState &config,
+                                   AssignmentHook onAssignment,
+                                   Member self,
+                                   PlacementSettings settings,
+                                   EventSink events)
     : m_services(services)
     , m_config(config)
-    , m_onCarriers(std::move(onCarriers))
+    , m_onAssignment(std::move(onAssignment))
     , m_self(std::move(self))
     , m_settings(std::move(settings))
     , m_events(std::move(events))
@@ -41,37 +41,37 @@
 {
 }
 
-Offset CarriedServices::applied() const
+Offset AssignedServices::applied() const
 {
     return m_applied.value_or(0);
 }
 
-std::size_t CarriedServices::count() const
+std::size_t AssignedServices::count() const
 {
     return static_cast<std::size_t>(std::count_if(m_served.begin(), m_served.end(), [](const auto &entry) {
-        return entry.second.mine;
+        return entry.second.assignedHere;
     }));
 }
 
-CarriedServices::Members CarriedServices::carriersOf(const ServiceName &name) const
+AssignedServices::Members AssignedServices::assignedProxiesOf(const ServiceName &name) const
 {
     const std::shared_lock lock(m_indexMutex);
-    return m_index.carriersOf(name);
+    return m_index.assignedProxiesOf(name);
 }
 
-void CarriedServices::update(const std::shared_ptr<const Members> &members, Offset applied, Instant now)
+void AssignedServices::update(const std::shared_ptr<const Members> &members, Offset applied, Instant now)
 {
     if (members != m_members) {
-        followMembers(*members, now);
+        updateMembers(*members, now);
         m_members = members;
     }
     if (m_applied != applied) {
-        followConfiguration(applied, now);
+        updateConfiguration(applied, now);
     }
-    releaseDue(now);
+    releaseExpired(now);
 }
 
-void CarriedServices::followMembers(const Members &members, Instant now)
+void AssignedServices::updateMembers(const Members &members, Instant now)
 {
     std::vector<ServiceName> changed;
     {
@@ -79,21 +79,21 @@
         changed = m_index.setMembers(members);
     }
     for (const ServiceName &name : changed) {
-        setCarriers(name, now);
+        setAssignedProxies(name, now);
     }
 }
 
-void CarriedServices::followConfiguration(Offset applied, Instant now)
+void AssignedServices::updateConfiguration(Offset applied, Instant now)
 {
     const auto touched = m_applied ? m_config.touchedSince(*m_applied) : std::nullopt;
     for (const ServiceName &name : touched ? *touched : allServices()) {
-        followEdited(name, now);
+        updateService(name, now);
     }
     m_applied = applied;
 }
 
 // Returns the services that are configured and those that were.
-std::vector<ServiceName> CarriedServices::allServices() const
+std::vector<ServiceName> AssignedServices::allServices() const
 {
     const std::vector<ServiceName> known = m_index.services();
     std::set<ServiceName> names(known.begin(), known.end());
@@ -107,7 +107,7 @@
 
 // Takes over a service that may have changed: its size decides who carries it, the rest matters only where it is
 // served.
-void CarriedServices::followEdited(const ServiceName &name, Instant now)
+void AssignedServices::updateService(const ServiceName &name, Instant now)
 {
     std::optional<ServiceSize> size;
     m_config.read([&](const ConfigTable &table) {
@@ -125,47 +125,48 @@
         }
     }
     if (!size) {
-        letGo(name, now);
+        stopServing(name, now);
         return;
     }
     if (m_served.contains(name)) {
-        takeUp(name, now);
+        startServing(name, now);
     }
     if (moved) {
-        setCarriers(name, now);
+        setAssignedProxies(name, now);
     }
 }
 
-void CarriedServices::setCarriers(const ServiceName &name, Instant now)
+void AssignedServices::setAssignedProxies(const ServiceName &name, Instant now)
 {
-    std::vector<CarrierPeer> carrying = internal::carrierPeers(m_index.carriersOf(name));
+    std::vector<AssignedPeer> assigned = internal::assignedPeers(m_index.assignedProxiesOf(name));
     const PeerId self { m_self.vm, m_self.incarnation };
-    const bool mine = std::any_of(carrying.begin(), carrying.end(), [&self](const CarrierPeer &peer) {
+    const bool assignedHere = std::any_of(assigned.begin(), assigned.end(), [&self](const AssignedPeer &peer) {
         return peer.id == self;
     });
     const bool isServed = m_served.contains(name);
-    if ((!mine && !isServed) || (mine && !isServed && !takeUp(name, now))) {
+    if ((!assignedHere && !isServed) || (assignedHere && !isServed && !startServing(name, now))) {
         return;
     }
     Served &served = m_served[name];
-    if (mine) {
+    if (assignedHere) {
         served.releaseAt.reset();
-    } else if (served.mine) {
+    } else if (served.assignedHere) {
         served.releaseAt = now + internal::ReleaseAfterLifetimes * m_settings.lifetime;
     }
-    if (served.mine == mine && served.carriers == carrying) {
+    if (served.assignedHere == assignedHere && served.proxies == assigned) {
         return;
     }
-    served.mine = mine;
-    served.carriers = std::move(carrying);
-    m_events(Event::PlacementChanged,
-             { { "service", name.value() }, { "carried", mine ? 1 : 0 }, { "members", served.carriers.size() } });
-    m_onCarriers(name, served.carriers, mine, now);
+    served.assignedHere = assignedHere;
+    served.proxies = std::move(assigned);
+    m_events(
+        Event::PlacementChanged,
+        { { "service", name.value() }, { "carried", assignedHere ? 1 : 0 }, { "members", served.proxies.size() } });
+    m_onAssignment(name, served.proxies, assignedHere, now);
 }
 
 // Gives the service's configuration to its state, which is made if there is none. Returns false if the service has been
 // removed meanwhile: the next update() will tell.
-bool CarriedServices::takeUp(const ServiceName &name, Instant now)
+bool AssignedServices::startServing(const ServiceName &name, Instant now)
 {
     const ServiceViewPtr view = m_config.service(name);
     if (!view) {
@@ -188,17 +189,17 @@
     return true;
 }
 
-void CarriedServices::letGo(const ServiceName &name, Instant now)
+void AssignedServices::stopServing(const ServiceName &name, Instant now)
 {
     if (m_served.erase(name) == 0) {
         return;
     }
     m_services.remove(name);
     m_config.releaseView(name);
-    m_onCarriers(name, {}, false, now);
+    m_onAssignment(name, {}, false, now);
 }
 
-void CarriedServices::releaseDue(Instant now)
+void AssignedServices::releaseExpired(Instant now)
 {
     std::vector<ServiceName> due;
     for (const auto &[name, served] : m_served) {
@@ -207,7 +208,7 @@
         }
     }
     for (const ServiceName &name : due) {
-        letGo(name, now);
+        stopServing(name, now);
     }
 }
 
--- a/src/app/carriedservices.h
+++ b/src/app/assignedservices.h
@@ -18,24 +18,25 @@
 // Keeps this process's set of services in step with the configuration and the members of the fleet: takes up services
 // that placement gives it, and lets go of those that it takes away once callers' old answers have run out. Only
 // services that are served here get a view of the configuration. Its commands run on the control thread.
-class CarriedServices
+class AssignedServices
 {
 public:
     using Members = std::vector<Member>;
 
     // Told of each service served here, after it is in the registry: who carries it, this process among them when
-    // `mine`. A service that has moved away is still served with `mine` false. No carriers: it isn't served any more.
-    using CarriersHook = std::function<void(
-        const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant now)>;
+    // `assignedHere`. A service that has moved away is still served with `assignedHere` false. No proxies: it isn't
+    // served any more.
+    using AssignmentHook = std::function<void(
+        const ServiceName &service, const std::vector<AssignedPeer> &proxies, bool assignedHere, Instant now)>;
 
-    CarriedServices(ServiceRegistry &services,
-                    ConfigState &config,
-                    CarriersHook onCarriers,
-                    Member self,
-                    PlacementSettings settings,
-                    EventSink events);
-    CarriedServices(const CarriedServices &) = delete;
-    CarriedServices &operator=(const CarriedServices &) = delete;
+    AssignedServices(ServiceRegistry &services,
+                     ConfigState &config,
+                     AssignmentHook onAssignment,
+                     Member self,
+                     PlacementSettings settings,
+                     EventSink events);
+    AssignedServices(const AssignedServices &) = delete;
+    AssignedServices &operator=(const AssignedServices &) = delete;
 
     // Brings everything up to date. Costs next to nothing when the members are the list of the last call and the
     // configuration hasn't changed.
@@ -49,28 +50,28 @@
 
     // Returns the members that carry the service as of the last update(), the strongest claim first; none for a service
     // that isn't configured. From any thread.
-    Members carriersOf(const ServiceName &name) const;
+    Members assignedProxiesOf(const ServiceName &name) const;
 
 private:
     // A service that is served here.
     struct Served {
-        std::vector<CarrierPeer> carriers;
-        bool mine = false;
+        std::vector<AssignedPeer> proxies;
+        bool assignedHere = false;
         std::optional<Instant> releaseAt; // no longer placed here, still served until then
     };
 
-    void followMembers(const Members &members, Instant now);
-    void followConfiguration(Offset applied, Instant now);
-    void followEdited(const ServiceName &name, Instant now);
+    void updateMembers(const Members &members, Instant now);
+    void updateConfiguration(Offset applied, Instant now);
+    void updateService(const ServiceName &name, Instant now);
     std::vector<ServiceName> allServices() const;
-    void setCarriers(const ServiceName &name, Instant now);
-    bool takeUp(const ServiceName &name, Instant now);
-    void letGo(const ServiceName &name, Instant now);
-    void releaseDue(Instant now);
+    void setAssignedProxies(const ServiceName &name, Instant now);
+    bool startServing(const ServiceName &name, Instant now);
+    void stopServing(const ServiceName &name, Instant now);
+    void releaseExpired(Instant now);
 
     ServiceRegistry &m_services;
     ConfigState &m_config;
-    CarriersHook m_onCarriers;
+    AssignmentHook m_onAssignment;
     Member m_self;
     PlacementSettings m_settings;
     EventSink m_events;
--- a/src/app/carriedservicestest.cpp
+++ b/src/app/assignedservicestest.cpp
@@ -1,4 +1,4 @@
-#include "carriedservices.h"
+#include "assignedservices.h"
 
 #include <algorithm>
 
@@ -25,42 +25,43 @@
 }
 
 // What the hook was told last of a service, and how often.
-struct Told {
-    std::size_t carriers = 0;
-    bool mine = false;
+struct HookCalls {
+    std::size_t assignedProxies = 0;
+    bool assignedHere = false;
     int times = 0;
 };
 
 } // namespace
 
 // This process is `self`; with one carrier a service, either it or the other member carries each.
-TEST_GROUP(CarriedServices)
+TEST_GROUP(AssignedServices)
 {
     const Member m_self = memberNamed("self", 1);
     const Member m_other = memberNamed("other", 2);
     const ServiceName m_name { "pressdesk" };
     ConfigState m_config;
     ServiceRegistry m_registry;
-    std::map<ServiceName, Told> m_told;
-    PlacementSettings m_settings = oneCarrier();
-    CarriedServices m_carried {
-        m_registry,
-        m_config,
-        [this](const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant) {
-            const int times = m_told[service].times + 1;
-            m_told[service] = { carriers.size(), mine, times };
-        },
-        m_self,
-        m_settings,
-        [](Event, std::initializer_list<EventField>) {}
-    };
+    std::map<ServiceName, HookCalls> m_hookCalls;
+    PlacementSettings m_settings = oneProxyPerService();
+    AssignedServices m_assignedServices { m_registry,
+                                          m_config,
+                                          [this](const ServiceName &service,
+                                                 const std::vector<AssignedPeer> &assignedProxies,
+                                                 bool assignedHere,
+                                                 Instant) {
+                                              const int times = m_hookCalls[service].times + 1;
+                                              m_hookCalls[service] = { assignedProxies.size(), assignedHere, times };
+                                          },
+                                          m_self,
+                                          m_settings,
+                                          [](Event, std::initializer_list<EventField>) {} };
     Instant m_now {};
     int m_edits = 0;
 
-    static PlacementSettings oneCarrier()
+    static PlacementSettings oneProxyPerService()
     {
         PlacementSettings settings;
-        settings.perFailureDomain = 1;
+        settings.minPerFailureDomain = 1;
         settings.lifetime = 10s;
         return settings;
     }
@@ -75,7 +76,7 @@
 
     void update(const std::vector<Member> &members)
     {
-        m_carried.update(std::make_shared<const std::vector<Member>>(members), m_config.applied(), m_now);
+        m_assignedServices.update(std::make_shared<const std::vector<Member>>(members), m_config.applied(), m_now);
     }
 
     bool isServed(const ServiceName &name) const
@@ -88,7 +89,7 @@
     {
         for (int number = 0;; ++number) {
             const ServiceName name("s" + std::to_string(number));
-            if (carriers(name, { m_self, m_other }, m_settings).front().vm == m_other.vm) {
+            if (assignedProxies(name, { m_self, m_other }, m_settings).front().vm == m_other.vm) {
                 return name;
             }
         }
@@ -96,28 +97,28 @@
 };
 
 // Failure: requests fail for some seconds after every change of members.
-TEST(CarriedServices, serviceThatMovesAwayIsServedUntilOldAnswersHaveRunOut)
+TEST(AssignedServices, serviceThatMovesAwayIsServedUntilOldAnswersHaveRunOut)
 {
     const ServiceName name = nameThatMovesAway();
     edit({ { service(name.value()), false } });
     update({ m_self });
-    CHECK_TRUE(m_told[name].mine);
+    CHECK_TRUE(m_hookCalls[name].assignedHere);
     update({ m_self, m_other });
-    LONGS_EQUAL(0, m_carried.count());
-    CHECK_FALSE(m_told[name].mine);
-    LONGS_EQUAL(1, m_told[name].carriers);
+    LONGS_EQUAL(0, m_assignedServices.count());
+    CHECK_FALSE(m_hookCalls[name].assignedHere);
+    LONGS_EQUAL(1, m_hookCalls[name].assignedProxies);
     m_now += 20s - 1ms;
     update({ m_self, m_other });
     CHECK_TRUE(isServed(name));
     m_now += 1ms;
     update({ m_self, m_other });
     CHECK_FALSE(isServed(name));
-    LONGS_EQUAL(0, m_told[name].carriers);
+    LONGS_EQUAL(0, m_hookCalls[name].assignedProxies);
     LONGS_EQUAL(0, m_config.viewCount());
 }
 
 // Failure: a member flaps, and requests that wait here are refused.
-TEST(CarriedServices, serviceThatComesBackInTimeIsNotInterrupted)
+TEST(AssignedServices, serviceThatComesBackInTimeIsNotInterrupted)
 {
     const ServiceName name = nameThatMovesAway();
     edit({ { service(name.value()), false } });
@@ -130,30 +131,31 @@
     update({ m_self });
     CHECK_TRUE(m_registry.find(name).has_value());
     CHECK_TRUE(m_registry.find(name)->state == before);
-    CHECK_TRUE(m_told[name].mine);
+    CHECK_TRUE(m_hookCalls[name].assignedHere);
 }
 
-TEST(CarriedServices, editReachesCarriedServicesAndNoOthers)
+TEST(AssignedServices, editReachesCarriedServicesAndNoOthers)
 {
-    const ServiceName away = nameThatMovesAway();
-    std::string mine = "m0";
-    for (int number = 1; carriers(ServiceName(mine), { m_self, m_other }, m_settings).front().vm != m_self.vm;
+    const ServiceName elsewhere = nameThatMovesAway();
+    std::string assignedHere = "m0";
+    for (int number = 1;
+         assignedProxies(ServiceName(assignedHere), { m_self, m_other }, m_settings).front().vm != m_self.vm;
          ++number) {
-        mine = "m" + std::to_string(number);
+        assignedHere = "m" + std::to_string(number);
     }
-    edit({ { service(mine), false }, { service(away.value()), false } });
+    edit({ { service(assignedHere), false }, { service(elsewhere.value()), false } });
     update({ m_self, m_other });
-    edit({ { target("t", mine), false }, { target("u", away.value()), false } });
+    edit({ { target("t", assignedHere), false }, { target("u", elsewhere.value()), false } });
     update({ m_self, m_other });
-    LONGS_EQUAL(1, m_registry.find(ServiceName(mine))->config->targets.size());
-    CHECK_FALSE(isServed(away));
-    LONGS_EQUAL(0, m_told.count(away));
-    LONGS_EQUAL(1, m_told[ServiceName(mine)].times);
+    LONGS_EQUAL(1, m_registry.find(ServiceName(assignedHere))->config->targets.size());
+    CHECK_FALSE(isServed(elsewhere));
+    LONGS_EQUAL(0, m_hookCalls.count(elsewhere));
+    LONGS_EQUAL(1, m_hookCalls[ServiceName(assignedHere)].times);
     LONGS_EQUAL(1, m_config.viewCount());
-    LONGS_EQUAL(2, m_carried.applied());
+    LONGS_EQUAL(2, m_assignedServices.applied());
 }
 
-TEST(CarriedServices, removedServiceIsLetGoAtOnce)
+TEST(AssignedServices, removedServiceIsLetGoAtOnce)
 {
     edit({ { service("pressdesk"), false } });
     update({ m_self });
@@ -161,23 +163,23 @@
     edit({ { service("pressdesk", 1), true } });
     update({ m_self });
     CHECK_FALSE(isServed(m_name));
-    LONGS_EQUAL(0, m_told[m_name].carriers);
+    LONGS_EQUAL(0, m_hookCalls[m_name].assignedProxies);
 }
 
 // Failure: a proxy goes on with an old table for some services, or serves one that others carry.
-TEST(CarriedServices, servesWhatPlacementGivesItAfterAnyEditsSnapshotsAndMembers)
+TEST(AssignedServices, servesWhatPlacementGivesItAfterAnyEditsSnapshotsAndMembers)
 {
     CHECK_TRUE(rc::check("served is placed here or being let go, with the newest configuration", [this] {
         ConfigState config;
         ServiceRegistry registry;
-        CarriedServices carried(
+        AssignedServices assignedServices(
             registry,
             config,
-            [](const ServiceName &, const std::vector<CarrierPeer> &, bool, Instant) {},
+            [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {},
             m_self,
             m_settings,
             [](Event, std::initializer_list<EventField>) {});
-        const auto edits = drawLog();
+        const auto edits = generateLog();
         std::size_t next = 0;
         while (next < edits.size()) {
             const auto count = *rc::gen::inRange<std::size_t>(1, 6);
@@ -195,14 +197,14 @@
             next = end;
             const std::vector<Member> members =
                 *rc::gen::arbitrary<bool>() ? std::vector { m_self, m_other } : std::vector { m_self };
-            carried.update(std::make_shared<const std::vector<Member>>(members), config.applied(), Instant {});
-            std::size_t mine = 0;
+            assignedServices.update(std::make_shared<const std::vector<Member>>(members), config.applied(), Instant {});
+            std::size_t assignedHere = 0;
             config.read([&](const ConfigTable &table) {
                 for (const Service *item : table.services()) {
                     const ServiceSize size { table.targetsOf(item->name).size(), 0 };
-                    const auto carrying = carriers(item->name, members, m_settings, size);
-                    const bool here = std::count(carrying.begin(), carrying.end(), m_self) > 0;
-                    mine += here ? 1 : 0;
+                    const auto assigned = assignedProxies(item->name, members, m_settings, size);
+                    const bool here = std::count(assigned.begin(), assigned.end(), m_self) > 0;
+                    assignedHere += here ? 1 : 0;
                     const auto served = registry.find(item->name);
                     RC_ASSERT(served || !here);
                     if (served) {
@@ -215,7 +217,7 @@
                     RC_ASSERT(table.service(served.config->service.name) != nullptr);
                 }
             });
-            RC_ASSERT(carried.count() == mine);
+            RC_ASSERT(assignedServices.count() == assignedHere);
         }
     }));
 }
--- a/src/app/command.cpp
+++ b/src/app/command.cpp
@@ -29,7 +29,7 @@
 // The same as in CMakeLists.txt.
 constexpr const char *ProgramVersion = MULBERRYPLANK_VERSION;
 
-bool asksForHelp(int argc, char **argv)
+bool isHelpRequested(int argc, char **argv)
 {
     return std::any_of(argv, argv + argc, [](const char *argument) {
         return std::string_view(argument) == "--help";
@@ -37,7 +37,7 @@
 }
 
 // Prints a command's help.
-void printHelp(const CommandRow &command, std::ostream &stream)
+void printHelp(const CommandInfo &command, std::ostream &stream)
 {
     stream << "usage: mulberryplank " << command.name << (command.action.empty() ? "" : " " + command.action)
            << (command.operands.empty() ? "" : " " + command.operands) << " [FLAGS]\n"
@@ -99,10 +99,10 @@
 }
 
 // Returns all commands. Those without a handler read a proxy's settings instead of options of their own.
-const std::vector<CommandRow> &commands()
+const std::vector<CommandInfo> &commands()
 {
-    static const std::vector<CommandRow> Commands = [] {
-        std::vector<CommandRow> all {
+    static const std::vector<CommandInfo> Commands = [] {
+        std::vector<CommandInfo> all {
             { "proxy", "", "", "run a proxy until SIGTERM or SIGINT, then drain", settingOptions(), 0, 0, {} },
             { "gateway",
               "",
@@ -131,7 +131,7 @@
         };
         for (auto part :
              { tableCommands, accountCommands, serviceCommands, targetCommands, viewCommands, logCommands }) {
-            const std::vector<CommandRow> rows = part();
+            const std::vector<CommandInfo> rows = part();
             all.insert(all.end(), rows.begin(), rows.end());
         }
         return all;
@@ -140,10 +140,10 @@
 }
 
 // A misspelt variable would otherwise be no more than a setting that silently has its default.
-void warnOfUnknownVariables(const CommandContext &context)
+void warnAboutUnknownVariables(const CommandContext &context)
 {
     std::vector<OptionInfo> options;
-    for (const CommandRow &command : commands()) {
+    for (const CommandInfo &command : commands()) {
         options.insert(options.end(), command.options.begin(), command.options.end());
     }
     for (const std::string &variable : unknownVariables(options, context.variables)) {
@@ -163,14 +163,14 @@
     return handlers.at(name)(argc, argv, context);
 }
 
-// Runs a command whose words are read already; argv[0] is its last word.
-ExitCode run(const CommandRow &command, int argc, char **argv, CommandContext &context)
+// Runs a command whose wordCount are read already; argv[0] is its last word.
+ExitCode run(const CommandInfo &command, int argc, char **argv, CommandContext &context)
 {
-    if (asksForHelp(argc, argv)) {
+    if (isHelpRequested(argc, argv)) {
         printHelp(command, context.out);
         return ExitCode::Done;
     }
-    warnOfUnknownVariables(context);
+    warnAboutUnknownVariables(context);
     if (!command.handler) {
         return runDaemonCommand(command.name, argc, argv, context);
     }
@@ -179,7 +179,7 @@
         return usageError(values.error(), context);
     }
     const std::size_t operands = values->positionals.size();
-    if (operands < command.leastOperands || operands > command.mostOperands) {
+    if (operands < command.minOperands || operands > command.maxOperands) {
         context.err << "wrong number of operands\n";
         printHelp(command, context.err);
         return ExitCode::Usage;
@@ -193,7 +193,7 @@
     stream << "usage: mulberryplank COMMAND [FLAGS]\n       mulberryplank COMMAND --help\n"
            << "       mulberryplank --version\n\n";
     std::vector<std::vector<std::string>> lines;
-    for (const CommandRow &command : commands()) {
+    for (const CommandInfo &command : commands()) {
         if (name.empty() || command.name == name) {
             const std::string action = command.action.empty() ? "" : " " + command.action;
             const std::string operands = command.operands.empty() ? "" : " " + command.operands;
@@ -220,10 +220,10 @@
 
 CommandContext processContext()
 {
-    const auto pause = [](Millis span) {
+    const auto sleepFor = [](Millis span) {
         std::this_thread::sleep_for(span);
     };
-    return { processEnvironment(), processVariables(), std::cin, std::cout, std::cerr, tcpExchange(), pause,
+    return { processEnvironment(), processVariables(), std::cin, std::cout, std::cerr, tcpExchange(), sleepFor,
              internal::randomBytes };
 }
 
@@ -240,11 +240,11 @@
         return ExitCode::Done;
     }
     bool known = false;
-    for (const internal::CommandRow &command : internal::commands()) {
+    for (const internal::CommandInfo &command : internal::commands()) {
         known = known || command.name == name;
         if (command.name == name && (command.action.empty() || command.action == action)) {
-            const int words = command.action.empty() ? 1 : 2;
-            return internal::run(command, argc - words, argv + words, context);
+            const int wordCount = command.action.empty() ? 1 : 2;
+            return internal::run(command, argc - wordCount, argv + wordCount, context);
         }
     }
     if (known && action == "--help") {
