--- a/src/app/commanditems.cpp
+++ b/src/app/commanditems.cpp
@@ -17,7 +17,7 @@
 
 // Returns the items of a CSV file, as `parse` reads them.
 template<typename Item>
-Result<std::vector<Item>> itemsInFile(const std::string &path, Result<std::vector<Item>> (*parse)(const CsvFile &))
+Result<std::vector<Item>> readItems(const std::string &path, Result<std::vector<Item>> (*parse)(const CsvFile &))
 {
     const Result<std::string> content = readWholeFile(path);
     if (!content) {
@@ -30,7 +30,7 @@
 
 // Returns the item with the name of `wanted`, or `wanted` as it is.
 template<typename Item>
-Item current(const std::vector<Item> &items, const Item &wanted)
+Item findByName(const std::vector<Item> &items, const Item &wanted)
 {
     const auto found = std::find_if(items.begin(), items.end(), [&](const Item &item) {
         return item.name == wanted.name;
@@ -38,7 +38,7 @@
     return found == items.end() ? wanted : *found;
 }
 
-Account accountNamed(const std::string &name)
+Account makeAccount(const std::string &name)
 {
     Account account;
     account.name = AccountName(name);
@@ -47,7 +47,7 @@
 
 ExitCode listAccountsCommand(const OptionValues &values, CommandContext &context)
 {
-    return withList<Account>(values, context, listAccounts, [&](AdminClient &, const std::vector<Account> &accounts) {
+    return withItems<Account>(values, context, fetchAccounts, [&](AdminClient &, const std::vector<Account> &accounts) {
         std::vector<std::vector<std::string>> lines { { "account", "version" } };
         for (const Account &account : accounts) {
             lines.push_back({ account.name.value(), std::to_string(account.version) });
@@ -59,12 +59,12 @@
 
 // Sets a fresh secret and prints it once it is in the table: a secret that was printed and then not accepted would be
 // handed to a caller who could never use it.
-ExitCode setFreshSecret(AdminClient &client, Account account, const OptionValues &values, CommandContext &context)
+ExitCode setNewSecret(AdminClient &client, Account account, const OptionValues &values, CommandContext &context)
 {
     const std::string secret = randomHex(SecretBytes, context);
     account.secretDigest = digestOf(secret);
     const ExitCode code = submitChanges(client, { { account, false } }, values, context);
-    if (code == ExitCode::Done || code == ExitCode::NotEverywhere) {
+    if (code == ExitCode::Done || code == ExitCode::PartlyInForce) {
         context.out << "secret: " << secret << "\n";
         context.out << "It is shown once and kept nowhere; only its digest is in the configuration.\n";
     }
@@ -83,54 +83,54 @@
             { ErrorKind::BadConfiguration, "account: '" + name + "' is not allowed; allowed: " + ItemNameAllowed },
             context);
     }
-    return withList<Account>(
-        values, context, listAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
-            const Account account = current(accounts, accountNamed(name));
+    return withItems<Account>(
+        values, context, fetchAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
+            const Account account = findByName(accounts, makeAccount(name));
             if (account.version != 0) {
                 return fleetError(
                     { ErrorKind::Conflict, "account " + name + " exists; 'accounts rotate' sets a new secret" },
                     context);
             }
-            return setFreshSecret(client, account, values, context);
+            return setNewSecret(client, account, values, context);
         });
 }
 
 ExitCode rotateAccountCommand(const OptionValues &values, CommandContext &context)
 {
     const std::string &name = values.positionals.front();
-    return withList<Account>(
-        values, context, listAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
-            const Account account = current(accounts, accountNamed(name));
+    return withItems<Account>(
+        values, context, fetchAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
+            const Account account = findByName(accounts, makeAccount(name));
             if (account.version == 0) {
                 return fleetError({ ErrorKind::NotFound, "account " + name + " does not exist" }, context);
             }
-            return setFreshSecret(client, account, values, context);
+            return setNewSecret(client, account, values, context);
         });
 }
 
 ExitCode removeAccountCommand(const OptionValues &values, CommandContext &context)
 {
-    return withList<Account>(
-        values, context, listAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
-            return removeItem(client, current(accounts, accountNamed(values.positionals.front())), values, context);
+    return withItems<Account>(
+        values, context, fetchAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
+            return removeItem(client, findByName(accounts, makeAccount(values.positionals.front())), values, context);
         });
 }
 
 ExitCode importAccountsCommand(const OptionValues &values, CommandContext &context)
 {
-    const Result<std::vector<Account>> wanted = itemsInFile(values.positionals.front(), parseAccounts);
+    const Result<std::vector<Account>> wanted = readItems(values.positionals.front(), parseAccounts);
     if (!wanted) {
         return usageError(wanted.error(), context);
     }
-    return withList<Account>(
-        values, context, listAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
+    return withItems<Account>(
+        values, context, fetchAccounts, [&](AdminClient &client, const std::vector<Account> &accounts) {
             return applyDiff(client, accountDiff(accounts, *wanted), values, context);
         });
 }
 
 ExitCode listServicesCommand(const OptionValues &values, CommandContext &context)
 {
-    return withList<Service>(values, context, listServices, [&](AdminClient &, const std::vector<Service> &services) {
+    return withItems<Service>(values, context, fetchServices, [&](AdminClient &, const std::vector<Service> &services) {
         std::vector<std::vector<std::string>> lines {
             { "service", "detection", "floor_share", "floor_count", "slots_per_target", "routes", "version" }
         };
@@ -166,13 +166,13 @@
     return {};
 }
 
-Result<std::vector<Service>> servicesInFiles(const std::string &path, const std::string &routesPath)
+Result<std::vector<Service>> readServices(const std::string &path, const std::string &routesPath)
 {
-    Result<std::vector<Service>> services = itemsInFile(path, parseServices);
+    Result<std::vector<Service>> services = readItems(path, parseServices);
     if (!services || routesPath.empty()) {
         return services;
     }
-    const Result<std::vector<RouteLine>> routes = itemsInFile(routesPath, parseRoutes);
+    const Result<std::vector<RouteLine>> routes = readItems(routesPath, parseRoutes);
     if (!routes) {
         return tl::make_unexpected(routes.error());
     }
@@ -186,19 +186,19 @@
 ExitCode importServicesCommand(const OptionValues &values, CommandContext &context)
 {
     const std::string &routesPath = values["routes"];
-    const Result<std::vector<Service>> wanted = servicesInFiles(values.positionals.front(), routesPath);
+    const Result<std::vector<Service>> wanted = readServices(values.positionals.front(), routesPath);
     if (!wanted) {
         return usageError(wanted.error(), context);
     }
-    return withList<Service>(
-        values, context, listServices, [&](AdminClient &client, const std::vector<Service> &services) {
+    return withItems<Service>(
+        values, context, fetchServices, [&](AdminClient &client, const std::vector<Service> &services) {
             return applyDiff(client, serviceDiff(services, *wanted, !routesPath.empty()), values, context);
         });
 }
 
 ExitCode listTargetsCommand(const OptionValues &values, CommandContext &context)
 {
-    return withList<Target>(values, context, listTargets, [&](AdminClient &, const std::vector<Target> &targets) {
+    return withItems<Target>(values, context, fetchTargets, [&](AdminClient &, const std::vector<Target> &targets) {
         std::vector<std::vector<std::string>> lines {
             { "target", "service", "host", "port", "failure_domain", "version" }
         };
@@ -217,14 +217,15 @@
 
 ExitCode applyTargets(const std::vector<Target> &wanted, const OptionValues &values, CommandContext &context)
 {
-    return withList<Target>(values, context, listTargets, [&](AdminClient &client, const std::vector<Target> &targets) {
-        return applyDiff(client, targetDiff(targets, wanted), values, context);
-    });
+    return withItems<Target>(
+        values, context, fetchTargets, [&](AdminClient &client, const std::vector<Target> &targets) {
+            return applyDiff(client, targetDiff(targets, wanted), values, context);
+        });
 }
 
 ExitCode importTargetsCommand(const OptionValues &values, CommandContext &context)
 {
-    const Result<std::vector<Target>> wanted = itemsInFile(values.positionals.front(), parseTargets);
+    const Result<std::vector<Target>> wanted = readItems(values.positionals.front(), parseTargets);
     if (!wanted) {
         return usageError(wanted.error(), context);
     }
@@ -245,16 +246,17 @@
 
 ExitCode removeTargetCommand(const OptionValues &values, CommandContext &context)
 {
-    return withList<Target>(values, context, listTargets, [&](AdminClient &client, const std::vector<Target> &targets) {
-        Target target;
-        target.name = TargetName(values.positionals.front());
-        return removeItem(client, current(targets, target), values, context);
-    });
+    return withItems<Target>(
+        values, context, fetchTargets, [&](AdminClient &client, const std::vector<Target> &targets) {
+            Target target;
+            target.name = TargetName(values.positionals.front());
+            return removeItem(client, findByName(targets, target), values, context);
+        });
 }
 
 } // namespace
 
-std::vector<CommandRow> accountCommands()
+std::vector<CommandInfo> accountCommands()
 {
     const OptionInfo dryRun = switchOption("dry-run", "Print the difference and send nothing.");
     return {
@@ -287,7 +289,7 @@
     };
 }
 
-std::vector<CommandRow> serviceCommands()
+std::vector<CommandInfo> serviceCommands()
 {
     return {
         { "services", "list", "", "print services", clientOptions(), 0, 0, listServicesCommand },
@@ -303,7 +305,7 @@
     };
 }
 
-std::vector<CommandRow> targetCommands()
+std::vector<CommandInfo> targetCommands()
 {
     const OptionInfo dryRun = switchOption("dry-run", "Print the difference and send nothing.");
     return {
--- a/src/app/commandparts.cpp
+++ b/src/app/commandparts.cpp
@@ -40,7 +40,7 @@
 
 bool isMillis(const std::string &value)
 {
-    return parseNumber(value, 0, MostMillis).has_value();
+    return parseNumber(value, 0, MaxMillis).has_value();
 }
 
 } // namespace
@@ -96,8 +96,8 @@
     AdminClientSettings settings;
     settings.proxies = parseEndpoints(values["admin"]).value_or(std::vector<Endpoint> {});
     settings.key = keys->front();
-    settings.timeout = Millis(parseNumber(values["timeout-ms"], 0, MostMillis).value_or(0));
-    return std::make_unique<AdminClient>(std::move(settings), context.exchange, context.pause);
+    settings.timeout = Millis(parseNumber(values["timeout-ms"], 0, MaxMillis).value_or(0));
+    return std::make_unique<AdminClient>(std::move(settings), context.exchange, context.sleepFor);
 }
 
 ExitCode usageError(const Error &error, CommandContext &context)
@@ -109,19 +109,19 @@
 ExitCode fleetError(const Error &error, CommandContext &context)
 {
     context.err << toString(error.kind) << ": " << error.detail << "\n";
-    const bool away = error.kind == ErrorKind::NotReady || error.kind == ErrorKind::PlatformUnavailable;
+    const bool unavailable = error.kind == ErrorKind::NotReady || error.kind == ErrorKind::PlatformUnavailable;
     if (error.kind == ErrorKind::PlatformUnavailable) {
         context.err << "The edit may or may not have been accepted. The same command can be repeated: it sends only "
                        "what still differs.\n";
     }
-    return away ? ExitCode::Unavailable : ExitCode::Refused;
+    return unavailable ? ExitCode::Unavailable : ExitCode::Refused;
 }
 
 namespace
 {
 
 // Returns the record of an edit that would set the listed items, so that one codec reads both.
-std::string recordOf(json::array items, const std::string &kind)
+std::string encodeListAsEdit(json::array items, const std::string &kind)
 {
     for (json::value &item : items) {
         item.as_object()["kind"] = kind;
@@ -129,7 +129,7 @@
     return json::serialize(json::object { { "v", 1 }, { "id", "list" }, { "changes", std::move(items) } });
 }
 
-Result<json::array> listJson(AdminClient &client, const std::string &path)
+Result<json::array> fetchJsonList(AdminClient &client, const std::string &path)
 {
     const Result<std::string> body = client.get(path);
     if (!body) {
@@ -151,15 +151,15 @@
 
 // Returns the items that a proxy lists at `path`, in the form that edits carry.
 template<typename Item>
-Result<std::vector<Item>> listItems(AdminClient &client, const std::string &path, const std::string &kind)
+Result<std::vector<Item>> fetchItems(AdminClient &client, const std::string &path, const std::string &kind)
 {
-    const Result<json::array> list = listJson(client, path);
+    const Result<json::array> list = fetchJsonList(client, path);
     if (!list || list->empty()) {
         return list.map([](const json::array &) {
             return std::vector<Item> {};
         });
     }
-    const Result<Edit> edit = decodeEdit(recordOf(*list, kind));
+    const Result<Edit> edit = decodeEdit(encodeListAsEdit(*list, kind));
     if (!edit) {
         return failure(ErrorKind::Internal, path + ": " + edit.error().detail);
     }
@@ -172,17 +172,17 @@
 
 } // namespace
 
-Result<std::vector<Service>> listServices(AdminClient &client)
+Result<std::vector<Service>> fetchServices(AdminClient &client)
 {
-    return listItems<Service>(client, "/-/services", "service");
+    return fetchItems<Service>(client, "/-/services", "service");
 }
 
-Result<std::vector<Target>> listTargets(AdminClient &client)
+Result<std::vector<Target>> fetchTargets(AdminClient &client)
 {
-    return listItems<Target>(client, "/-/targets", "target");
+    return fetchItems<Target>(client, "/-/targets", "target");
 }
 
-Result<std::vector<Row>> listRows(AdminClient &client)
+Result<std::vector<Row>> fetchRows(AdminClient &client)
 {
     const Result<std::string> csv = client.get("/-/table");
     if (!csv) {
@@ -195,9 +195,9 @@
     return rows;
 }
 
-Result<std::vector<Account>> listAccounts(AdminClient &client)
+Result<std::vector<Account>> fetchAccounts(AdminClient &client)
 {
-    const Result<json::array> list = listJson(client, "/-/accounts");
+    const Result<json::array> list = fetchJsonList(client, "/-/accounts");
     if (!list) {
         return tl::make_unexpected(list.error());
     }
@@ -219,15 +219,15 @@
 {
 
 // Prints where an accepted edit is in force.
-ExitCode printReply(const EditReply &reply, CommandContext &context)
+ExitCode printEditResponse(const EditResponse &response, CommandContext &context)
 {
-    const std::size_t all = reply.inForce.size() + reply.missing.size();
-    context.out << "accepted at offset " << reply.offset << "; in force in " << reply.inForce.size() << " of " << all
-                << " proxies\n";
-    for (const std::string &vm : reply.missing) {
+    const std::size_t all = response.inForce.size() + response.missing.size();
+    context.out << "accepted at offset " << response.offset << "; in force in " << response.inForce.size() << " of "
+                << all << " proxies\n";
+    for (const std::string &vm : response.missing) {
         context.out << "missing: " << vm << "\n";
     }
-    return reply.missing.empty() ? ExitCode::Done : ExitCode::NotEverywhere;
+    return response.missing.empty() ? ExitCode::Done : ExitCode::PartlyInForce;
 }
 
 } // namespace
@@ -237,18 +237,18 @@
                        const OptionValues &values,
                        CommandContext &context)
 {
-    const Millis wait(parseNumber(values["wait"], 0, MostMillis).value_or(0));
+    const Millis wait(parseNumber(values["wait"], 0, MaxMillis).value_or(0));
     ExitCode code = ExitCode::Done;
     for (std::vector<Change> &part : splitForRecords(changes)) {
         const Edit edit { EditId(randomHex(EditIdBytes, context)), std::move(part) };
         if (const Result<void> checked = checkEdit(edit); !checked) {
             return usageError(checked.error(), context);
         }
-        const Result<EditReply> reply = client.submit(edit, wait);
-        if (!reply) {
-            return fleetError(reply.error(), context);
+        const Result<EditResponse> response = client.submit(edit, wait);
+        if (!response) {
+            return fleetError(response.error(), context);
         }
-        code = std::max(code, printReply(*reply, context));
+        code = std::max(code, printEditResponse(*response, context));
     }
     return code;
 }
--- a/src/app/commandparts.h
+++ b/src/app/commandparts.h
@@ -16,26 +16,26 @@
 {
 
 // The longest time that an option may name.
-inline constexpr std::uint64_t MostMillis = 600'000;
+inline constexpr std::uint64_t MaxMillis = 600'000;
 
 // One subcommand, such as "table import FILE".
-struct CommandRow {
+struct CommandInfo {
     std::string name;
     std::string action; // empty: the command has no second word
     std::string operands; // for people
     std::string summary; // for people
     std::vector<OptionInfo> options;
-    std::size_t leastOperands = 0;
-    std::size_t mostOperands = 0;
+    std::size_t minOperands = 0;
+    std::size_t maxOperands = 0;
     std::function<ExitCode(const OptionValues &values, CommandContext &context)> handler;
 };
 
-std::vector<CommandRow> tableCommands();
-std::vector<CommandRow> accountCommands();
-std::vector<CommandRow> serviceCommands();
-std::vector<CommandRow> targetCommands();
-std::vector<CommandRow> viewCommands();
-std::vector<CommandRow> logCommands();
+std::vector<CommandInfo> tableCommands();
+std::vector<CommandInfo> accountCommands();
+std::vector<CommandInfo> serviceCommands();
+std::vector<CommandInfo> targetCommands();
+std::vector<CommandInfo> viewCommands();
+std::vector<CommandInfo> logCommands();
 
 // Options of every command that asks a proxy, and of those that change something.
 std::vector<OptionInfo> clientOptions(std::vector<OptionInfo> more = {});
@@ -55,23 +55,23 @@
 ExitCode fleetError(const Error &error, CommandContext &context);
 
 // Each returns what a proxy lists. Of accounts there are names and versions; digests aren't given out.
-Result<std::vector<Account>> listAccounts(AdminClient &client);
-Result<std::vector<Service>> listServices(AdminClient &client);
-Result<std::vector<Target>> listTargets(AdminClient &client);
-Result<std::vector<Row>> listRows(AdminClient &client);
+Result<std::vector<Account>> fetchAccounts(AdminClient &client);
+Result<std::vector<Service>> fetchServices(AdminClient &client);
+Result<std::vector<Target>> fetchTargets(AdminClient &client);
+Result<std::vector<Row>> fetchRows(AdminClient &client);
 
-// Connects, fetches a list and hands both to `use`, or prints what is wrong.
+// Connects, fetches a fetch and hands both to `use`, or prints what is wrong.
 template<typename Item>
-ExitCode withList(const OptionValues &values,
-                  CommandContext &context,
-                  Result<std::vector<Item>> (*list)(AdminClient &client),
-                  const std::function<ExitCode(AdminClient &client, const std::vector<Item> &items)> &use)
+ExitCode withItems(const OptionValues &values,
+                   CommandContext &context,
+                   Result<std::vector<Item>> (*fetch)(AdminClient &client),
+                   const std::function<ExitCode(AdminClient &client, const std::vector<Item> &items)> &use)
 {
     const Result<std::unique_ptr<AdminClient>> client = connect(values, context);
     if (!client) {
         return usageError(client.error(), context);
     }
-    const Result<std::vector<Item>> items = list(**client);
+    const Result<std::vector<Item>> items = fetch(**client);
     if (!items) {
         return fleetError(items.error(), context);
     }
--- a/src/app/commandtable.cpp
+++ b/src/app/commandtable.cpp
@@ -48,13 +48,13 @@
     if (!wanted) {
         return usageError({ wanted.error().kind, path + " " + wanted.error().detail }, context);
     }
-    return withList<Row>(values, context, listRows, [&](AdminClient &client, const std::vector<Row> &current) {
+    return withItems<Row>(values, context, fetchRows, [&](AdminClient &client, const std::vector<Row> &current) {
         return applyDiff(client, rowDiff(current, *wanted, values.has("remove-missing")), values, context);
     });
 }
 
 // Returns the row as the table has it, or a new one of version 0.
-Row rowOf(const std::vector<Row> &rows, const AccountName &account, const ServiceName &service)
+Row findRow(const std::vector<Row> &rows, const AccountName &account, const ServiceName &service)
 {
     for (const Row &row : rows) {
         if (row.account == account && row.service == service) {
@@ -87,11 +87,11 @@
 {
     const std::vector<std::string> &operands = values.positionals;
     Row scratch;
-    if (const Result<void> fine = setFields(scratch, operands); !fine) {
-        return usageError(fine.error(), context);
+    if (const Result<void> valid = setFields(scratch, operands); !valid) {
+        return usageError(valid.error(), context);
     }
-    return withList<Row>(values, context, listRows, [&](AdminClient &client, const std::vector<Row> &current) {
-        Row wanted = rowOf(current, AccountName(operands[0]), ServiceName(operands[1]));
+    return withItems<Row>(values, context, fetchRows, [&](AdminClient &client, const std::vector<Row> &current) {
+        Row wanted = findRow(current, AccountName(operands[0]), ServiceName(operands[1]));
         const Result<void> set = setFields(wanted, operands);
         if (!set) {
             return usageError(set.error(), context);
@@ -102,7 +102,7 @@
 
 } // namespace
 
-std::vector<CommandRow> tableCommands()
+std::vector<CommandInfo> tableCommands()
 {
     const OptionInfo dryRun = switchOption("dry-run", "Print the difference and send nothing.");
     return {
--- a/src/app/commandview.cpp
+++ b/src/app/commandview.cpp
@@ -20,7 +20,7 @@
 ExitCode withJson(const OptionValues &values,
                   CommandContext &context,
                   const std::string &path,
-                  const std::function<ExitCode(const json::value &answer)> &use)
+                  const std::function<ExitCode(const json::value &response)> &use)
 {
     const Result<std::unique_ptr<AdminClient>> client = connect(values, context);
     if (!client) {
@@ -31,46 +31,46 @@
         return fleetError(body.error(), context);
     }
     boost::system::error_code problem;
-    const json::value answer = json::parse(*body, problem);
+    const json::value response = json::parse(*body, problem);
     if (problem) {
         return fleetError({ ErrorKind::Internal, path + ": the proxy's answer is not JSON" }, context);
     }
-    return use(answer);
+    return use(response);
 }
 
 ExitCode statusCommand(const OptionValues &values, CommandContext &context)
 {
-    return withJson(values, context, "/-/status", [&](const json::value &answer) {
-        const StatusView view = viewStatus(answer);
-        context.out << (values.has("json") ? json::serialize(answer) + "\n" : view.text);
+    return withJson(values, context, "/-/status", [&](const json::value &response) {
+        const StatusView view = renderStatus(response);
+        context.out << (values.has("json") ? json::serialize(response) + "\n" : view.text);
         return view.attention.empty() ? ExitCode::Done : ExitCode::Refused;
     });
 }
 
 ExitCode membersCommand(const OptionValues &values, CommandContext &context)
 {
-    return withJson(values, context, "/-/members", [&](const json::value &answer) {
-        context.out << (values.has("json") ? json::serialize(answer) + "\n" : viewMembers(answer));
+    return withJson(values, context, "/-/members", [&](const json::value &response) {
+        context.out << (values.has("json") ? json::serialize(response) + "\n" : renderMembers(response));
         return ExitCode::Done;
     });
 }
 
 ExitCode dumpCommand(const OptionValues &values, CommandContext &context)
 {
-    return withJson(values, context, "/-/dump", [&](const json::value &answer) {
-        context.out << (values.has("json") ? json::serialize(answer) + "\n" : viewDump(answer));
+    return withJson(values, context, "/-/dump", [&](const json::value &response) {
+        context.out << (values.has("json") ? json::serialize(response) + "\n" : renderDump(response));
         return ExitCode::Done;
     });
 }
 
-// Prints the addresses in an answer of locate, one a line.
+// Prints the addresses in an response of locate, one a line.
 ExitCode printLocation(const std::string &body, CommandContext &context)
 {
     try {
-        const json::value answer = json::parse(body);
-        context.out << "keep for " << plainText(answer.at("lifetime_ms")) << " ms\n";
+        const json::value response = json::parse(body);
+        context.out << "keep for " << plainText(response.at("lifetime_ms")) << " ms\n";
         std::vector<std::vector<std::string>> lines { { "address", "failure domain", "weight" } };
-        for (const json::value &entry : answer.at("addresses").as_array()) {
+        for (const json::value &entry : response.at("addresses").as_array()) {
             lines.push_back({ plainText(entry.at("host")) + ":" + plainText(entry.at("port")),
                               plainText(entry.at("failure_domain")),
                               plainText(entry.at("weight")) });
@@ -109,7 +109,7 @@
     return Fields;
 }
 
-std::string numberOf(const json::object &object, const std::string &key)
+std::string fieldText(const json::object &object, const std::string &key)
 {
     const json::value *value = object.if_contains(key);
     return value == nullptr ? "" : plainText(*value);
@@ -118,18 +118,18 @@
 // Names of VMs, services and accounts hold no character that CSV would have to quote.
 void printUsage(const json::object &dump, std::ostream &out)
 {
-    const std::string vm = numberOf(dump, "vm");
+    const std::string vm = fieldText(dump, "vm");
     const json::array none;
     const json::value *services = dump.if_contains("services");
     for (const json::value &service : services != nullptr ? services->as_array() : none) {
         const json::object &fields = service.as_object();
         for (const json::value &account : fields.at("accounts").as_array()) {
-            out << vm << ',' << numberOf(fields, "service");
+            out << vm << ',' << fieldText(fields, "service");
             for (const std::string &field : usageFields()) {
-                out << ',' << numberOf(account.as_object(), field);
+                out << ',' << fieldText(account.as_object(), field);
             }
             for (const std::string &field : refusalFields()) {
-                out << ',' << numberOf(account.as_object().at("refused").as_object(), field);
+                out << ',' << fieldText(account.as_object().at("refused").as_object(), field);
             }
             out << '\n';
         }
@@ -146,8 +146,8 @@
         context.out << ',' << field;
     }
     context.out << '\n';
-    return withJson(values, context, "/-/dump", [&](const json::value &answer) {
-        printUsage(answer.as_object(), context.out);
+    return withJson(values, context, "/-/dump", [&](const json::value &response) {
+        printUsage(response.as_object(), context.out);
         return ExitCode::Done;
     });
 }
@@ -162,13 +162,13 @@
     }
     AdminClientSettings settings;
     settings.proxies = { parseEndpoint(values["proxy"]).value_or(Endpoint {}) };
-    settings.timeout = Millis(parseNumber(values["timeout-ms"], 0, MostMillis).value_or(0));
+    settings.timeout = Millis(parseNumber(values["timeout-ms"], 0, MaxMillis).value_or(0));
     const Result<std::string> credential = accountCredential(values["account-file"]);
     if (!credential) {
         return usageError(credential.error(), context);
     }
     settings.key = *credential;
-    AdminClient client(std::move(settings), context.exchange, context.pause);
+    AdminClient client(std::move(settings), context.exchange, context.sleepFor);
     const Result<std::string> body = client.get("/-/locate/" + service);
     if (!body) {
         return fleetError(body.error(), context);
@@ -197,7 +197,7 @@
 
 } // namespace
 
-std::vector<CommandRow> viewCommands()
+std::vector<CommandInfo> viewCommands()
 {
     const OptionInfo asJson = switchOption("json", "Print the answer as it is.");
     return {
--- a/src/app/csvfile.cpp
+++ b/src/app/csvfile.cpp
@@ -38,13 +38,13 @@
     bool readLine(std::string_view line)
     {
         ++m_line;
-        return csv_parse(&m_parser, line.data(), line.size(), takeField, takeRecord, this) == line.size();
+        return csv_parse(&m_parser, line.data(), line.size(), onField, onRecord, this) == line.size();
     }
 
     // Ends the file. Returns false if a quoted field is still open.
     bool finish()
     {
-        return csv_fini(&m_parser, takeField, takeRecord, this) == 0;
+        return csv_fini(&m_parser, onField, onRecord, this) == 0;
     }
 
     std::size_t line() const
@@ -58,13 +58,13 @@
     }
 
 private:
-    static void takeField(void *text, std::size_t size, void *self)
+    static void onField(void *text, std::size_t size, void *self)
     {
         auto *reader = static_cast<CsvReader *>(self);
         reader->m_current.fields.emplace_back(static_cast<const char *>(text), size);
     }
 
-    static void takeRecord(int, void *self)
+    static void onRecord(int, void *self)
     {
         auto *reader = static_cast<CsvReader *>(self);
         reader->m_current.line = reader->m_line;
@@ -78,7 +78,7 @@
     std::vector<CsvRecord> m_records;
 };
 
-char delimiterOf(std::string_view heading)
+char detectDelimiter(std::string_view heading)
 {
     char best = ',';
     for (const char candidate : { ';', '\t' }) {
@@ -89,7 +89,7 @@
     return best;
 }
 
-std::string lineProblem(const std::string &name, std::size_t line, const std::string &problem)
+std::string formatLineProblem(const std::string &name, std::size_t line, const std::string &problem)
 {
     return name + " line " + std::to_string(line) + ": " + problem;
 }
@@ -99,7 +99,7 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-std::string listOf(const std::vector<std::string> &names)
+std::string joinNames(const std::vector<std::string> &names)
 {
     std::string text;
     for (const std::string &name : names) {
@@ -117,18 +117,18 @@
     if (bytes.starts_with(internal::ByteOrderMark)) {
         bytes.remove_prefix(internal::ByteOrderMark.size());
     }
-    internal::CsvReader reader(internal::delimiterOf(bytes.substr(0, bytes.find('\n'))));
+    internal::CsvReader reader(internal::detectDelimiter(bytes.substr(0, bytes.find('\n'))));
     while (!bytes.empty()) {
         const std::size_t length = std::min(bytes.find('\n'), bytes.size() - 1) + 1;
         if (!reader.readLine(bytes.substr(0, length))) {
             return failure(ErrorKind::BadConfiguration,
-                           internal::lineProblem(name, reader.line(), "a quote stands where none may stand"));
+                           internal::formatLineProblem(name, reader.line(), "a quote stands where none may stand"));
         }
         bytes.remove_prefix(length);
     }
     if (!reader.finish()) {
         return failure(ErrorKind::BadConfiguration,
-                       internal::lineProblem(name, reader.line(), "a quoted field is not closed"));
+                       internal::formatLineProblem(name, reader.line(), "a quoted field is not closed"));
     }
     CsvFile file { name, {}, reader.takeRecords() };
     if (file.records.empty()) {
@@ -150,37 +150,38 @@
     return content.str();
 }
 
-std::vector<std::string> headingProblems(const CsvFile &file,
-                                         const std::vector<std::string> &known,
-                                         const std::vector<std::string> &required,
-                                         bool secret)
+std::vector<std::string> findHeadingProblems(const CsvFile &file,
+                                             const std::vector<std::string> &known,
+                                             const std::vector<std::string> &required,
+                                             bool secret)
 {
     std::vector<std::string> problems;
     for (const std::string &heading : file.headings) {
         if (!internal::contains(known, heading)) {
-            const std::string shown = secret ? WithheldText : heading;
-            problems.push_back(internal::lineProblem(
-                file.name, 1, "column '" + shown + "' is not allowed; allowed: " + internal::listOf(known)));
+            const std::string shown = secret ? RedactedText : heading;
+            problems.push_back(internal::formatLineProblem(
+                file.name, 1, "column '" + shown + "' is not allowed; allowed: " + internal::joinNames(known)));
         }
         if (std::count(file.headings.begin(), file.headings.end(), heading) > 1 && internal::contains(known, heading)) {
-            problems.push_back(internal::lineProblem(file.name, 1, "column '" + heading + "' stands there twice"));
+            problems.push_back(
+                internal::formatLineProblem(file.name, 1, "column '" + heading + "' stands there twice"));
         }
     }
     for (const std::string &heading : required) {
         if (!internal::contains(file.headings, heading)) {
-            problems.push_back(internal::lineProblem(file.name, 1, "column '" + heading + "' is missing"));
+            problems.push_back(internal::formatLineProblem(file.name, 1, "column '" + heading + "' is missing"));
         }
     }
     return problems;
 }
 
-std::string fieldProblem(const CsvFile &file,
-                         const CsvRecord &record,
-                         const std::string &heading,
-                         const std::string &value,
-                         const std::string &allowed)
+std::string formatFieldProblem(const CsvFile &file,
+                               const CsvRecord &record,
+                               const std::string &heading,
+                               const std::string &value,
+                               const std::string &allowed)
 {
-    return internal::lineProblem(
+    return internal::formatLineProblem(
         file.name, record.line, "column " + heading + ": '" + value + "' is not allowed; allowed: " + allowed);
 }
 
--- a/src/app/eventlog.cpp
+++ b/src/app/eventlog.cpp
@@ -28,7 +28,7 @@
 constexpr const char *LineLayout = "%d{yyyy-MM-ddTHH:mm:ss.SSSZ}{GMT} %p %m%n";
 constexpr const char *LoggerName = "mulberryplank";
 constexpr std::string_view Withheld = "(withheld)";
-constexpr std::array<std::string_view, 2> CredentialMarks { "Bearer ", "Basic " };
+constexpr std::array<std::string_view, 2> CredentialPrefixes { "Bearer ", "Basic " };
 
 log4cxx::LevelPtr levelOf(Severity severity)
 {
@@ -55,18 +55,18 @@
     }
 }
 
-void withholdCredential(std::string &text, std::string_view mark)
+void withholdCredential(std::string &text, std::string_view prefix)
 {
-    for (std::size_t at = text.find(mark); at != std::string::npos; at = text.find(mark, at)) {
-        at += mark.size();
+    for (std::size_t at = text.find(prefix); at != std::string::npos; at = text.find(prefix, at)) {
+        at += prefix.size();
         const std::size_t end = std::min(text.find_first_of(" \t\r\n\"", at), text.size());
         text.replace(at, end - at, Withheld);
     }
 }
 
-std::string escape(char letter)
+std::string escape(char character)
 {
-    switch (letter) {
+    switch (character) {
     case '"':
         return "\\\"";
     case '\\':
@@ -78,25 +78,25 @@
     default:
         break;
     }
-    if (std::iscntrl(static_cast<unsigned char>(letter)) == 0) {
-        return { letter };
+    if (std::iscntrl(static_cast<unsigned char>(character)) == 0) {
+        return { character };
     }
     std::array<char, 5> code {};
-    std::snprintf(code.data(), code.size(), "\\x%02x", static_cast<unsigned>(static_cast<unsigned char>(letter)));
+    std::snprintf(code.data(), code.size(), "\\x%02x", static_cast<unsigned>(static_cast<unsigned char>(character)));
     return code.data();
 }
 
 std::string quoteWhenNeeded(const std::string &value)
 {
-    const bool plain = std::all_of(value.begin(), value.end(), [](unsigned char letter) {
-        return letter > ' ' && letter != '"' && letter != '=' && letter != '\\' && letter != 0x7f;
+    const bool plain = std::all_of(value.begin(), value.end(), [](unsigned char character) {
+        return character > ' ' && character != '"' && character != '=' && character != '\\' && character != 0x7f;
     });
     if (plain && !value.empty()) {
         return value;
     }
     std::string quoted = "\"";
-    for (const char letter : value) {
-        quoted += escape(letter);
+    for (const char character : value) {
+        quoted += escape(character);
     }
     return quoted + "\"";
 }
@@ -111,8 +111,8 @@
     for (const std::string &secret : secrets) {
         withholdAll(value, secret);
     }
-    for (const std::string_view mark : CredentialMarks) {
-        withholdCredential(value, mark);
+    for (const std::string_view prefix : CredentialPrefixes) {
+        withholdCredential(value, prefix);
     }
     return value;
 }
--- a/src/app/eventlogtest.cpp
+++ b/src/app/eventlogtest.cpp
@@ -51,11 +51,11 @@
 {
     std::string enumerator;
     bool upper = true;
-    for (const char letter : name) {
-        if (letter != '-') {
-            enumerator += upper ? static_cast<char>(letter - 'a' + 'A') : letter;
+    for (const char character : name) {
+        if (character != '-') {
+            enumerator += upper ? static_cast<char>(character - 'a' + 'A') : character;
         }
-        upper = letter == '-';
+        upper = character == '-';
     }
     return enumerator;
 }
@@ -145,8 +145,8 @@
 {
     CHECK_TRUE(rc::check("a line stays one line with the fields it was given", [](const std::string &value) {
         const std::string line = formatEvent(Event::TargetEjected, { { "service", value }, { "target", "t-1" } }, {});
-        RC_ASSERT(std::none_of(line.begin(), line.end(), [](unsigned char letter) {
-            return std::iscntrl(letter) != 0;
+        RC_ASSERT(std::none_of(line.begin(), line.end(), [](unsigned char character) {
+            return std::iscntrl(character) != 0;
         }));
         const std::regex fields(R"re(501 target-ejected service=("(\\.|[^"\\])*"|[^ "=]+) target=t-1)re");
         RC_ASSERT(std::regex_match(line, fields));
--- a/src/app/fakefleet.h
+++ b/src/app/fakefleet.h
@@ -20,23 +20,23 @@
 public:
     ConfigTable table;
     std::vector<std::string> missing; // VMs that never get an edit
-    int answersToLose = 0; // of edits, after they took effect
-    bool away = false;
+    int responsesToLose = 0; // of edits, after they took effect
+    bool unreachable = false;
     std::size_t editsSent = 0;
     std::set<std::string> editIds;
     std::string lastBody;
     std::string status = "{}";
     std::function<void()> beforeEdit = [] {};
 
-    Result<HttpReply> exchange(const HttpCall &call)
+    Result<HttpResponse> exchange(const HttpRequest &call)
     {
-        if (away) {
+        if (unreachable) {
             return failure(ErrorKind::ConnectFailed, "connection refused");
         }
-        if (call.bearer != "0123456789abcdef0123456789abcdef" && !call.path.starts_with("/-/locate/")) {
-            return HttpReply { 401, R"({"error":"unauthenticated"})" };
+        if (call.bearerToken != "0123456789abcdef0123456789abcdef" && !call.path.starts_with("/-/locate/")) {
+            return HttpResponse { 401, R"({"error":"unauthenticated"})" };
         }
-        return call.method == "POST" ? edit(call.body) : HttpReply { 200, answer(call.path) };
+        return call.method == "POST" ? edit(call.body) : HttpResponse { 200, queryResponse(call.path) };
     }
 
     // Applies an edit as another operator would.
@@ -46,7 +46,7 @@
     }
 
 private:
-    Result<HttpReply> edit(const std::string &body)
+    Result<HttpResponse> edit(const std::string &body)
     {
         beforeEdit();
         lastBody = body;
@@ -58,24 +58,24 @@
         if (outcome.status == EditStatus::Repeated) {
             outcome = *table.outcomeOf(decoded->id);
         }
-        if (answersToLose > 0) {
-            --answersToLose;
+        if (responsesToLose > 0) {
+            --responsesToLose;
             return failure(ErrorKind::TargetReset, "connection reset");
         }
         if (outcome.status == EditStatus::Conflict) {
-            return HttpReply { 409, R"({"error":"conflict","detail":"based on an older version"})" };
+            return HttpResponse { 409, R"({"error":"conflict","detail":"based on an older version"})" };
         }
         if (outcome.status != EditStatus::Accepted) {
-            return HttpReply { 422, R"({"error":"bad-configuration","detail":")" + outcome.detail + "\"}" };
+            return HttpResponse { 422, R"({"error":"bad-configuration","detail":")" + outcome.detail + "\"}" };
         }
         boost::json::object reply { { "status", "accepted" },
                                     { "offset", outcome.offset },
                                     { "in_force", { "vm-1" } } };
         reply["missing"] = boost::json::value_from(missing);
-        return HttpReply { 200, boost::json::serialize(reply) };
+        return HttpResponse { 200, boost::json::serialize(reply) };
     }
 
-    std::string answer(const std::string &path) const
+    std::string queryResponse(const std::string &path) const
     {
         if (path == "/-/table") {
             return exportTable(table);
@@ -144,12 +144,12 @@
         return (m_folder / name).string();
     }
 
-    Run run(std::vector<std::string> words)
+    Run run(std::vector<std::string> arguments)
     {
-        words.insert(words.begin(), "mulberryplank");
+        arguments.insert(arguments.begin(), "mulberryplank");
         std::vector<char *> argv;
-        for (std::string &word : words) {
-            argv.push_back(word.data());
+        for (std::string &argument : arguments) {
+            argv.push_back(argument.data());
         }
         argv.push_back(nullptr);
         std::ostringstream out;
@@ -160,7 +160,7 @@
             }
             return variable == "MULBERRYPLANK_OPERATOR_KEY_FILE" ? std::optional(m_keyFile) : std::nullopt;
         };
-        const auto exchange = [this](const HttpCall &call) {
+        const auto exchange = [this](const HttpRequest &call) {
             return m_fleet.exchange(call);
         };
         const auto randomBytes = [this](std::size_t size) {
@@ -168,7 +168,7 @@
         };
         std::istringstream in(input);
         CommandContext context { environment, {}, in, out, err, exchange, [](Millis) {}, randomBytes };
-        const ExitCode code = runCommand(static_cast<int>(words.size()), argv.data(), context);
+        const ExitCode code = runCommand(static_cast<int>(arguments.size()), argv.data(), context);
         return { code, out.str(), err.str() };
     }
 
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -25,8 +25,8 @@
 constexpr Duration PeerTimeout = Millis(500);
 // For any other to begin with a list of targets, which has to be known within two seconds whoever fails.
 constexpr Duration ListTimeout = Millis(400);
-// For the rest of an answer that has begun: a list of 58,000 targets takes 0.7 s on the slowest VMs' links alone.
-constexpr Duration NewsTimeout = Seconds(3);
+// For the rest of an response that has begun: a list of 58,000 targets takes 0.7 s on the slowest VMs' links alone.
+constexpr Duration UpdateBodyTimeout = Seconds(3);
 // Of each failure domain: a store that silences a single one is noticed only after seconds.
 constexpr std::size_t ConfigurationReaders = 2;
 // A report is 15 bytes long, a datagram's payload 1,000 bytes and more.
@@ -61,39 +61,39 @@
 
 // Takes over what the members have brought. Called with each tick, and before a caller is told where to connect if they
 // have changed since.
-void GatewayProcess::followMembers()
+void GatewayProcess::applyMembers()
 {
-    m_followed = m_members ? m_members->snapshot() : nullptr;
+    m_appliedMembers = m_members ? m_members->snapshot() : nullptr;
     const std::vector<Member> all = members();
     std::uint64_t newest = 0;
     for (const Member &member : all) {
         newest = std::max<std::uint64_t>(newest, member.applied);
     }
-    m_news->noteVersionElsewhere(newest);
-    EntrySettings entries;
-    entries.leastPerDomain = m_settings.entriesPerDomain;
-    m_entries = entryMembers(all, entries);
-    m_reader = readerOf(all, m_settings.failureDomain);
-    m_readsConfiguration = isAmongStrongest(all, m_incarnation, internal::ConfigurationReaders);
+    m_discovery->noteRemoteVersion(newest);
+    IngressSettings ingressSettings;
+    ingressSettings.minPerDomain = m_settings.entriesPerDomain;
+    m_ingressMembers = ingressMembers(all, ingressSettings);
+    m_designatedReader = designatedReader(all, m_settings.failureDomain);
+    m_readsConfiguration = isAmongTopRanked(all, m_incarnation, internal::ConfigurationReaders);
     // The budget's fixed part goes to the gateways that have the requests; the others have what theirs earn.
     const Instant now = Clock::now();
-    m_slackShare.follow(m_entries.size(), isEntry(), now);
-    const double slack = m_slackShare.slack(now);
+    m_retryAllowanceShare.update(m_ingressMembers.size(), isIngress(), now);
+    const double fixedAllowance = m_retryAllowanceShare.fixedAllowance(now);
     for (auto &[name, known] : m_services) {
-        known->budget.setSlack(slack);
+        known->budget.setFixedAllowance(fixedAllowance);
     }
 }
 
-bool GatewayProcess::isEntry() const
+bool GatewayProcess::isIngress() const
 {
-    return std::any_of(m_entries.begin(), m_entries.end(), [this](const Member &entry) {
-        return entry.incarnation == m_incarnation;
+    return std::any_of(m_ingressMembers.begin(), m_ingressMembers.end(), [this](const Member &member) {
+        return member.incarnation == m_incarnation;
     });
 }
 
-bool GatewayProcess::anotherReads() const
+bool GatewayProcess::hasOtherReader() const
 {
-    return m_peers && m_reader && m_reader->incarnation != m_incarnation;
+    return m_peers && m_designatedReader && m_designatedReader->incarnation != m_incarnation;
 }
 
 // Happens while gateways of two versions run beside each other.
@@ -106,7 +106,7 @@
                { "detail", error.detail } });
 }
 
-void GatewayProcess::takeReports(const std::vector<AttemptReport> &reports)
+void GatewayProcess::mergeReports(const std::vector<AttemptReport> &reports)
 {
     const Instant now = Clock::now();
     for (const AttemptReport &report : reports) {
@@ -114,7 +114,7 @@
         if (found != m_targetsByKey.end()) {
             const KnownTarget &known = found->second;
             const Instant usedAt = now - Millis(report.ageMillis);
-            known.service->balancer.noteRemote(known.name, report.result, report.logRatio, usedAt, now);
+            known.service->balancer.addRemoteEvidence(known.name, report.result, report.logRatio, usedAt, now);
         }
     }
 }
@@ -128,10 +128,10 @@
         const std::size_t end = std::min(begin + internal::ReportsPerDatagram, reports.size());
         const std::string payload = encode(std::vector(reports.begin() + static_cast<std::ptrdiff_t>(begin),
                                                        reports.begin() + static_cast<std::ptrdiff_t>(end)));
-        for (const Member &entry : m_entries) {
-            if (entry.incarnation != m_incarnation) {
+        for (const Member &member : m_ingressMembers) {
+            if (member.incarnation != m_incarnation) {
                 // What can't be sent counts as lost: the other gateway finds out for itself.
-                static_cast<void>(m_peers->send(entry.peer, PeerKind::AttemptReports, payload));
+                static_cast<void>(m_peers->send(member.peer, PeerKind::AttemptReports, payload));
             }
         }
     }
@@ -153,30 +153,31 @@
     });
 }
 
-// Callers that fail come in bursts to one entry, while the others' shares lie idle: a third of the fleet's budget was
+// Callers that fail come in bursts to one member, while the others' shares lie idle: a third of the fleet's budget was
 // used while requests died for want of it.
-void GatewayProcess::askForBudget(const ServiceName &name)
+void GatewayProcess::requestBudget(const ServiceName &name)
 {
-    std::vector<Member> others = m_entries;
-    std::erase_if(others, [this](const Member &entry) {
-        return entry.incarnation == m_incarnation || entry.status != MemberStatus::Alive;
+    std::vector<Member> others = m_ingressMembers;
+    std::erase_if(others, [this](const Member &member) {
+        return member.incarnation == m_incarnation || member.status != MemberStatus::Alive;
     });
-    if (!m_peers || others.empty() || !isEntry()) {
+    if (!m_peers || others.empty() || !isIngress()) {
         return;
     }
-    const std::optional<std::uint64_t> question = service(name).loan.ask(Clock::now());
-    if (!question) {
+    const std::optional<std::uint64_t> requestNumber = service(name).loan.ask(Clock::now());
+    if (!requestNumber) {
         return;
     }
     const Member &lender = others[std::uniform_int_distribution<std::size_t>(0, others.size() - 1)(m_random)];
     // What is lost is asked for again by the next request that lacks it.
-    static_cast<void>(m_peers->send(lender.peer, PeerKind::BudgetQuestion, encode(BudgetMessage { name, *question })));
+    static_cast<void>(
+        m_peers->send(lender.peer, PeerKind::BudgetRequest, encode(BudgetMessage { name, *requestNumber })));
 }
 
 void GatewayProcess::lendBudget(const PeerSender &sender, const BudgetMessage &message)
 {
     const auto found = m_services.find(message.service);
-    const bool lent = found != m_services.end() && found->second->budget.tryLend(Clock::now(), internal::LenderKeeps);
+    const bool lent = found != m_services.end() && found->second->budget.tryLend(Clock::now(), internal::LenderReserve);
     if (lent) {
         ++m_gateway.forward.counters.budgetLent;
         // A loan that is lost stays counted here: the fleet then has a little less than it may use.
@@ -190,7 +191,7 @@
     if (found == m_services.end()) {
         return;
     }
-    const std::optional<Instant> until = found->second->loan.accept(message.question, Clock::now());
+    const std::optional<Instant> until = found->second->loan.accept(message.requestNumber, Clock::now());
     if (until) {
         ++m_gateway.forward.counters.budgetBorrowed;
         found->second->budget.borrow(*until);
@@ -203,113 +204,117 @@
     const Instant now = Clock::now();
     std::vector<AttemptReport> reports;
     for (auto &[name, known] : m_services) {
-        for (const TargetBalancer::News &news : known->balancer.takeNews()) {
-            const AttemptResult result = news.answered ? AttemptResult::Success : AttemptResult::Cancelled;
-            const double logRatio = SicknessModel::evidenceOf(result).logRatio();
-            reports.push_back(attemptReport(news.id, result, logRatio, now - news.usedAt));
+        for (const TargetBalancer::Update &update : known->balancer.takeUpdates()) {
+            const AttemptResult result = update.responded ? AttemptResult::Success : AttemptResult::Cancelled;
+            const double logRatio = FaultModel::evidenceOf(result).logRatio();
+            reports.push_back(attemptReport(update.id, result, logRatio, now - update.usedAt));
         }
     }
-    if (isEntry()) {
+    if (isIngress()) {
         sendReports(reports);
     }
 }
 
 // Tells the gateways of this failure domain, which have their lists from here.
-void GatewayProcess::tellNewsChanged(const NewsHint &hint)
+void GatewayProcess::announceAsReader(const UpdateHint &hint)
 {
-    if (m_reader && m_reader->incarnation == m_incarnation) {
-        tellNear(hint);
+    if (m_designatedReader && m_designatedReader->incarnation == m_incarnation) {
+        announceInDomain(hint);
     }
 }
 
 // Returns the other gateways of this failure domain.
-std::vector<Member> GatewayProcess::membersNear() const
+std::vector<Member> GatewayProcess::othersInDomain() const
 {
-    std::vector<Member> near = members();
-    std::erase_if(near, [this](const Member &member) {
+    std::vector<Member> sameDomain = members();
+    std::erase_if(sameDomain, [this](const Member &member) {
         return member.failureDomain != m_settings.failureDomain || member.incarnation == m_incarnation
                || member.status == MemberStatus::Dead;
     });
-    return near;
+    return sameDomain;
 }
 
-void GatewayProcess::tellNear(const NewsHint &hint)
+void GatewayProcess::announceInDomain(const UpdateHint &hint)
 {
     if (!m_peers) {
         return;
     }
-    for (const Member &member : membersNear()) {
+    for (const Member &member : othersInDomain()) {
         // A lost hint is made up for by the next regular read.
-        static_cast<void>(m_peers->send(member.peer, PeerKind::NewsChanged, encode(hint)));
+        static_cast<void>(m_peers->send(member.peer, PeerKind::UpdateAvailable, encode(hint)));
     }
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::askReader(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryReader(PeerUpdateRequest request)
 {
-    if (!anotherReads()) {
+    if (!hasOtherReader()) {
         co_return failure(ErrorKind::PeerLost, "no other gateway reads for this failure domain");
     }
-    const Member reader = *m_reader;
-    if (m_silentPeers.contains(reader.incarnation, Clock::now())) {
+    const Member reader = *m_designatedReader;
+    if (m_unresponsivePeers.contains(reader.incarnation, Clock::now())) {
         co_return failure(ErrorKind::PeerLost, "the reader gave no answer a moment ago");
     }
     co_return co_await ask(reader, request, internal::ReaderTimeout);
 }
 
 // Asks for the configuration at a gateway that callers are named, or every other time at any.
-asio::awaitable<Result<PeerNews>> GatewayProcess::askPeer(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryPeer(PeerUpdateRequest request)
 {
     if (request.wantsTargets) {
-        co_return co_await askPeerForList(request);
+        co_return co_await queryPeerForList(request);
     }
-    const bool anyMember = std::bernoulli_distribution(0.5)(m_random) || m_entries.size() < 2;
-    const std::optional<Member> chosen = choosePeerForNews(
-        anyMember ? members() : m_entries, m_incarnation, request.version, m_silentPeers, Clock::now(), m_random);
+    const bool anyMember = std::bernoulli_distribution(0.5)(m_random) || m_ingressMembers.size() < 2;
+    const std::optional<Member> chosen = choosePeerForUpdate(anyMember ? members() : m_ingressMembers,
+                                                             m_incarnation,
+                                                             request.version,
+                                                             m_unresponsivePeers,
+                                                             Clock::now(),
+                                                             m_random);
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
     }
     co_return co_await ask(*chosen, request, internal::PeerTimeout);
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::askPeerForList(PeerNewsRequest request)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryPeerForList(PeerUpdateRequest request)
 {
     const std::optional<Member> chosen =
-        choosePeerForList(m_entries, members(), m_incarnation, m_peersWithoutList, Clock::now(), m_random);
+        choosePeerForTargetList(m_ingressMembers, members(), m_incarnation, m_peersWithoutList, Clock::now(), m_random);
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
     }
-    const Result<PeerNews> news = co_await ask(*chosen, request, internal::ListTimeout);
-    if (news && !news->upToDate && !readsFirstList(*news)) {
+    const Result<PeerUpdate> update = co_await ask(*chosen, request, internal::ListTimeout);
+    if (update && !update->upToDate && !readsFirstList(*update)) {
         m_peersWithoutList.note(chosen->incarnation, Clock::now());
     }
-    co_return news;
+    co_return update;
 }
 
-asio::awaitable<Result<PeerNews>> GatewayProcess::ask(Member peer, PeerNewsRequest request, Duration limit)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::ask(Member peer, PeerUpdateRequest request, Duration timeout)
 {
     std::string payload = encode(request);
-    const Result<std::string> answer =
-        co_await m_peers->call(peer.peer, PeerKind::NewsQuery, std::move(payload), limit, internal::NewsTimeout);
-    if (!answer) {
-        m_silentPeers.note(peer.incarnation, Clock::now());
+    const Result<std::string> response = co_await m_peers->call(
+        peer.peer, PeerKind::UpdateQuery, std::move(payload), timeout, internal::UpdateBodyTimeout);
+    if (!response) {
+        m_unresponsivePeers.note(peer.incarnation, Clock::now());
         m_peersWithoutList.note(peer.incarnation, Clock::now());
-        co_return tl::make_unexpected(answer.error());
+        co_return tl::make_unexpected(response.error());
     }
-    co_return decodePeerNews(*answer);
+    co_return decodePeerUpdate(*response);
 }
 
 // Names the gateways of the caller's failure domain, or all that there are when it has none.
-LocateAnswer GatewayProcess::locate(const FailureDomain &callerDomain) const
+LocateResponse GatewayProcess::locate(const FailureDomain &callerDomain) const
 {
-    std::vector<Member> near;
-    for (const Member &entry : m_entries) {
-        if (entry.failureDomain == callerDomain) {
-            near.push_back(entry);
+    std::vector<Member> sameDomain;
+    for (const Member &member : m_ingressMembers) {
+        if (member.failureDomain == callerDomain) {
+            sameDomain.push_back(member);
         }
     }
     PlacementSettings settings;
     settings.lifetime = std::chrono::duration_cast<Millis>(m_settings.locateLifetime);
-    return locateAnswer(near.empty() ? m_entries : near, callerDomain, settings, 0);
+    return locateResponse(sameDomain.empty() ? m_ingressMembers : sameDomain, callerDomain, settings, 0);
 }
 
 } // namespace mulberryplank
--- a/src/app/gatewayjoin.cpp
+++ b/src/app/gatewayjoin.cpp
@@ -8,7 +8,7 @@
 #include <openssl/rand.h>
 
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/net/pause.h"
+#include "mulberryplank/net/sleep.h"
 
 namespace mulberryplank
 {
@@ -21,12 +21,13 @@
 namespace
 {
 
-// Until a gateway that has met no other one goes on without: its seeds may all be gone, or start at the same moment.
-constexpr Duration JoinLimit = Seconds(1);
+// Until a gateway that has onFirstMember no other one goes on without: its seeds may all be gone, or start at the same
+// moment.
+constexpr Duration JoinTimeout = Seconds(1);
 // When a whole fleet starts for the first time, all join through the one that made the key, and there are no callers
 // yet: they come one after the other, and nobody reads the store before most are known, else each would do so.
-constexpr Duration FirstJoinSpread = Seconds(1);
-constexpr Duration FirstJoinLimit = Seconds(3);
+constexpr Duration FirstJoinJitter = Seconds(1);
+constexpr Duration FirstJoinTimeout = Seconds(3);
 constexpr std::size_t KeySize = 32; // bytes
 
 std::string randomKey()
@@ -52,38 +53,38 @@
     FleetRegistrySettings settings;
     settings.self = ownSeed();
     settings.firstStart = m_settings.firstStart;
-    const std::function<double()> spread = [this] {
+    const std::function<double()> jitter = [this] {
         return std::uniform_real_distribution<double>(0, 1)(m_random);
     };
-    const std::function<std::string()> makeKey = internal::randomKey;
+    const std::function<std::string()> createKey = internal::randomKey;
     const KeyedStore store = m_store.access();
-    const FleetEntry entry = co_await joinFleet(m_worker.context, store, settings, makeKey, spread);
-    m_seedsNamed = entry.seeds.size();
+    const FleetBootstrap bootstrap = co_await joinFleet(m_worker.context, store, settings, createKey, jitter);
+    m_registeredSeeds = bootstrap.seeds.size();
     // One that is restarted soon after the first start may be told of that still.
-    m_startsFirst = m_settings.firstStart && m_seedsNamed <= 1;
-    if (m_startsFirst) {
-        co_await pauseFor(m_worker.context, std::chrono::duration_cast<Duration>(internal::FirstJoinSpread * spread()));
+    m_isFirstStart = m_settings.firstStart && m_registeredSeeds <= 1;
+    if (m_isFirstStart) {
+        co_await sleepFor(m_worker.context, std::chrono::duration_cast<Duration>(internal::FirstJoinJitter * jitter()));
     }
-    startPeers(entry);
-    co_await pauseFor(m_worker.context, m_startsFirst ? internal::FirstJoinLimit : internal::JoinLimit);
-    beginNews();
+    startPeers(bootstrap);
+    co_await sleepFor(m_worker.context, m_isFirstStart ? internal::FirstJoinTimeout : internal::JoinTimeout);
+    startDiscovery();
 }
 
 // Follows the configuration and the targets from now on. Before others are known every start would read all of it from
 // the store, which a fleet that starts at once can't bear.
-void GatewayProcess::beginNews()
+void GatewayProcess::startDiscovery()
 {
-    if (m_newsBegun) {
+    if (m_discoveryStarted) {
         return;
     }
-    m_newsBegun = true;
-    followMembers();
+    m_discoveryStarted = true;
+    applyMembers();
     m_events(Event::FleetJoined,
              { { "vm", m_settings.vm.value() },
-               { "seeds", m_seedsNamed },
+               { "seeds", m_registeredSeeds },
                { "members", members().size() },
                { "duration_ms", std::chrono::duration_cast<Millis>(Clock::now() - m_startedAt).count() } });
-    m_news->start();
+    m_discovery->start();
 }
 
 FleetSeed GatewayProcess::ownSeed() const
@@ -96,66 +97,66 @@
 {
     Seeds others;
     for (const FleetSeed &seed : seeds) {
-        const bool near = seed.failureDomain == m_settings.failureDomain;
+        const bool sameDomain = seed.failureDomain == m_settings.failureDomain;
         if (seed.peer != m_settings.peer) {
-            others.peers.insert(near ? others.peers.begin() : others.peers.end(), seed.peer);
-            others.near += near ? 1 : 0;
+            others.peers.insert(sameDomain ? others.peers.begin() : others.peers.end(), seed.peer);
+            others.sameDomain += sameDomain ? 1 : 0;
         }
     }
     return others;
 }
 
-void GatewayProcess::startPeers(const FleetEntry &entry)
+void GatewayProcess::startPeers(const FleetBootstrap &bootstrap)
 {
     PeerTransportSettings transport;
     transport.listen = m_settings.peer;
     transport.vm = m_settings.vm;
     transport.incarnation = m_incarnation;
-    transport.fleetKeys = { entry.key };
+    transport.fleetKeys = { bootstrap.key };
     m_peers = std::make_unique<PeerTransport>(m_worker.context, std::move(transport), m_events);
-    m_peers->onCall(PeerKind::NewsQuery,
+    m_peers->onCall(PeerKind::UpdateQuery,
                     [this](const PeerSender &sender, std::string_view payload) -> Result<std::string> {
-                        const Result<PeerNewsRequest> request = decodePeerNewsRequest(payload);
+                        const Result<PeerUpdateRequest> request = decodePeerUpdateRequest(payload);
                         if (!request) {
                             notePeerUnreadable(sender, request.error());
                             return tl::make_unexpected(request.error());
                         }
-                        return encode(m_news->answerPeer(*request));
+                        return encode(m_discovery->respondToPeer(*request));
                     });
-    takeDatagrams();
-    const Seeds seeds = otherSeeds(entry.seeds);
+    registerDatagramHandlers();
+    const Seeds seeds = otherSeeds(bootstrap.seeds);
     startMembers(seeds);
     m_peers->start();
     m_members->start();
-    keepSeeds(entry.seeds);
-    if (seeds.peers.empty() && !m_startsFirst) {
-        beginNews();
+    startSeedPublisher(bootstrap.seeds);
+    if (seeds.peers.empty() && !m_isFirstStart) {
+        startDiscovery();
     }
 }
 
-void GatewayProcess::takeDatagrams()
+void GatewayProcess::registerDatagramHandlers()
 {
-    const auto onDatagram = [this](PeerKind kind, auto decode, auto take) {
-        m_peers->onDatagram(kind, [this, decode, take](const PeerSender &sender, std::string_view payload) {
+    const auto onDatagram = [this](PeerKind kind, auto decode, auto handle) {
+        m_peers->onDatagram(kind, [this, decode, handle](const PeerSender &sender, std::string_view payload) {
             const auto message = decode(payload);
             if (message) {
-                take(sender, *message);
+                handle(sender, *message);
             } else {
                 notePeerUnreadable(sender, message.error());
             }
         });
     };
     onDatagram(PeerKind::AttemptReports, decodeAttemptReports, [this](const PeerSender &, const auto &reports) {
-        takeReports(reports);
+        mergeReports(reports);
     });
-    onDatagram(PeerKind::BudgetQuestion, decodeBudgetMessage, [this](const PeerSender &sender, const auto &message) {
+    onDatagram(PeerKind::BudgetRequest, decodeBudgetMessage, [this](const PeerSender &sender, const auto &message) {
         lendBudget(sender, message);
     });
     onDatagram(PeerKind::BudgetLoan, decodeBudgetMessage, [this](const PeerSender &, const auto &message) {
         borrowBudget(message);
     });
-    onDatagram(PeerKind::NewsChanged, decodeNewsHint, [this](const PeerSender &, const NewsHint &hint) {
-        m_news->noteNewsElsewhere(hint.version);
+    onDatagram(PeerKind::UpdateAvailable, decodeUpdateHint, [this](const PeerSender &, const UpdateHint &hint) {
+        m_discovery->noteRemoteUpdate(hint.version);
     });
 }
 
@@ -163,10 +164,10 @@
 {
     MemberServiceSettings settings;
     settings.membership.seeds = seeds.peers;
-    settings.membership.preferredSeeds = seeds.near;
-    settings.met = [this] {
-        if (!m_startsFirst) {
-            beginNews();
+    settings.membership.preferredSeeds = seeds.sameDomain;
+    settings.onFirstMember = [this] {
+        if (!m_isFirstStart) {
+            startDiscovery();
         }
     };
     m_members = std::make_unique<MemberService>(
@@ -181,23 +182,23 @@
         m_events);
 }
 
-void GatewayProcess::keepSeeds(std::vector<FleetSeed> seeds)
+void GatewayProcess::startSeedPublisher(std::vector<FleetSeed> seeds)
 {
-    SeedKeeperHooks hooks;
+    SeedPublisherHooks hooks;
     hooks.members = [this] {
         return members();
     };
     hooks.seedsFound = [this](const std::vector<FleetSeed> &found) {
         const Seeds others = otherSeeds(found);
-        m_members->setSeeds(others.peers, others.near);
+        m_members->setSeeds(others.peers, others.sameDomain);
     };
-    m_seeds = std::make_unique<SeedKeeper>(m_worker.context,
-                                           m_store.access(),
-                                           ownSeed(),
-                                           m_incarnation,
-                                           SeedKeeperSettings {},
-                                           std::move(hooks),
-                                           m_events);
+    m_seeds = std::make_unique<SeedPublisher>(m_worker.context,
+                                              m_store.access(),
+                                              ownSeed(),
+                                              m_incarnation,
+                                              SeedPublisherSettings {},
+                                              std::move(hooks),
+                                              m_events);
     m_seeds->start(std::move(seeds));
 }
 
--- a/src/app/gatewayprocess.cpp
+++ b/src/app/gatewayprocess.cpp
@@ -15,7 +15,7 @@
 #include "mulberryplank/app/eventlog.h"
 #include "mulberryplank/app/gateway.h"
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/net/pause.h"
+#include "mulberryplank/net/sleep.h"
 
 namespace mulberryplank
 {
@@ -30,17 +30,17 @@
 
 constexpr Duration TickInterval = Millis(500); // of what needs no haste: members, files, expiries
 constexpr Duration FileCheckInterval = Seconds(2);
-constexpr Duration DrainCheck = Millis(50);
-// Before the end of the grace: what is still under way then is cut, which must not take the system's kill.
-constexpr Duration EndBeforeGrace = Millis(600);
+constexpr Duration DrainPollInterval = Millis(50);
+// Before the end of the grace: what is still under way then is aborted, which must not take the system's kill.
+constexpr Duration FinishMargin = Millis(600);
 // After the time for which callers keep an answer of locate: some keep it a little longer.
-constexpr Duration AfterLifetime = Seconds(1);
+constexpr Duration LifetimeMargin = Seconds(1);
 
 TargetPool::Settings poolSettings()
 {
     TargetPool::Settings settings;
     settings.idleLimit = Seconds(8);
-    settings.freshFor = Seconds(4);
+    settings.nonIdempotentIdleLimit = Seconds(4);
     settings.idlePerTarget = 16;
     return settings;
 }
@@ -74,7 +74,7 @@
           {},
           { platform::ReadyPath, "/metrics" },
           [this](AdminRequest request) {
-              return answerReady(std::move(request));
+              return handleReady(std::move(request));
           },
           m_events)
     , m_locateServer(
@@ -83,12 +83,12 @@
           {},
           { platform::LocatePath },
           [this](AdminRequest request) {
-              return answerLocate(std::move(request));
+              return handleLocate(std::move(request));
           },
           m_events)
-    , m_reports(internal::ReportHold)
+    , m_reports(internal::MaxReportDelay)
     , m_reportsDue(m_worker.context)
-    , m_slackShare({ settings.retrySlack * internal::BudgetGivenOut, settings.retryWindow })
+    , m_retryAllowanceShare({ settings.retrySlack * internal::DistributedBudgetShare, settings.retryWindow })
     , m_signals(m_worker.context, SIGTERM, SIGINT, SIGHUP)
 {
     m_signals.add(SIGUSR1);
@@ -110,86 +110,86 @@
         sendReports(m_reports.add(report, Clock::now()));
         awaitReportsDue();
     };
-    m_gateway.forward.askForBudget = [this](const ServiceName &name) {
-        askForBudget(name);
+    m_gateway.forward.requestBudget = [this](const ServiceName &name) {
+        requestBudget(name);
     };
-    NewsHooks hooks;
+    DiscoveryHooks hooks;
     hooks.configurationKey = platform::ConfigurationKey;
     hooks.decodeRoutes = platform::decodeConfiguration;
     hooks.decodeTarget = platform::decodeTarget;
     hooks.routesChanged = [this](const RouteTablePtr &routes) {
         if (m_readsConfiguration) {
-            tellNear({ routes->version });
+            announceInDomain({ routes->version });
         }
     };
     hooks.targetsRead = [this](const TargetDirectory &directory, bool fresh) {
         configureTargets(directory, fresh);
     };
-    hooks.askPeer = [this](PeerNewsRequest request) {
-        return askPeer(request);
+    hooks.queryPeer = [this](PeerUpdateRequest request) {
+        return queryPeer(request);
     };
-    hooks.askReader = [this](PeerNewsRequest request) {
-        return askReader(request);
+    hooks.queryReader = [this](PeerUpdateRequest request) {
+        return queryReader(request);
     };
     hooks.hasReader = [this] {
-        return anotherReads();
+        return hasOtherReader();
     };
     hooks.readsConfiguration = [this] {
         return m_readsConfiguration;
     };
-    hooks.followersNear = [this] {
-        return membersNear().size() + 1;
+    hooks.followersInDomain = [this] {
+        return othersInDomain().size() + 1;
     };
-    hooks.storeChanged = [this](bool foundFirst) {
-        if (foundFirst) {
-            tellNear({});
+    hooks.storeChanged = [this](bool firstToRecover) {
+        if (firstToRecover) {
+            announceInDomain({});
         } else {
-            tellNewsChanged({});
+            announceAsReader({});
         }
     };
     hooks.listChanged = [this] {
-        tellNewsChanged({ versionInForce() });
+        announceAsReader({ versionInForce() });
     };
-    m_news = std::make_unique<NewsFollower>(
-        m_worker.context, m_store.access(), NewsSettings {}, std::move(hooks), m_incarnation, m_events);
+    m_discovery = std::make_unique<DiscoveryClient>(
+        m_worker.context, m_store.access(), DiscoverySettings {}, std::move(hooks), m_incarnation, m_events);
     m_gateway.routes = [this] {
-        return m_news->routes();
+        return m_discovery->routes();
     };
     m_gateway.awaitRoutes = [this] {
-        return m_news->awaitRoutes();
+        return m_discovery->awaitRoutes();
     };
-    m_gateway.needTargets = [this] {
-        return m_news->needTargets();
+    m_gateway.ensureTargets = [this] {
+        return m_discovery->ensureTargets();
     };
 }
 
 ForwardService &GatewayProcess::service(const ServiceName &name)
 {
-    std::unique_ptr<ForwardService> &place = m_services[name];
-    if (!place) {
+    std::unique_ptr<ForwardService> &slot = m_services[name];
+    if (!slot) {
         BalancerSettings balancer;
         balancer.ownDomain = m_settings.failureDomain;
         balancer.heartbeat = m_settings.heartbeat;
         WindowBudgetSettings budget;
-        budget.ratio = m_settings.retryRatio * internal::BudgetGivenOut;
+        budget.ratio = m_settings.retryRatio * internal::DistributedBudgetShare;
         budget.window = m_settings.retryWindow;
-        budget.slack = 0;
-        const auto tellSuspicion = [this, name](const SuspicionChange &change) {
+        budget.fixedAllowance = 0;
+        const auto reportSuspicion = [this, name](const SuspicionChange &change) {
             m_events(change.suspected ? Event::TargetSuspected : Event::TargetReturned,
                      { { "service", name.value() },
                        { "target", change.id.value() },
                        { "failure_domain", change.failureDomain.value() },
-                       { "belief", change.belief },
+                       { "belief", change.faultProbability },
                        { "evidence", std::string(toString(change.evidence)) } });
         };
         const auto dropConnections = [this](const Endpoint &endpoint) {
             m_worker.pool.closeIdle(endpoint);
         };
-        place.reset(new ForwardService { TargetBalancer(balancer, m_random(), tellSuspicion, dropConnections),
-                                         WindowBudget(budget) });
-        followMembers();
+        slot.reset(new ForwardService { TargetBalancer(balancer, m_random(), reportSuspicion, dropConnections),
+                                        WindowBudget(budget) });
+        applyMembers();
     }
-    return *place;
+    return *slot;
 }
 
 void GatewayProcess::configureTargets(const TargetDirectory &directory, bool fresh)
@@ -214,18 +214,18 @@
 asio::awaitable<void> GatewayProcess::tickForever()
 {
     while (true) {
-        co_await pauseFor(m_worker.context, internal::TickInterval);
-        followMembers();
+        co_await sleepFor(m_worker.context, internal::TickInterval);
+        applyMembers();
         shareSuccesses();
         if (Clock::now() >= m_nextFileCheck) {
             m_nextFileCheck = Clock::now() + internal::FileCheckInterval;
-            noteFileChange();
+            checkSettingsFile();
         }
     }
 }
 
 // The settings' file may change without a signal.
-void GatewayProcess::noteFileChange()
+void GatewayProcess::checkSettingsFile()
 {
     if (m_settings.file.empty()) {
         return;
@@ -259,9 +259,9 @@
     m_settings.grace = read->grace;
     m_settings.locateLifetime = read->locateLifetime;
     m_settings.retrySlack = read->retrySlack;
-    m_slackShare.setTotal(m_settings.retrySlack * internal::BudgetGivenOut);
+    m_retryAllowanceShare.setTotal(m_settings.retrySlack * internal::DistributedBudgetShare);
     m_settings.entriesPerDomain = read->entriesPerDomain;
-    followMembers();
+    applyMembers();
     m_events(Event::SettingsReloaded, { { "detail", m_settings.file } });
 }
 
@@ -291,9 +291,9 @@
 {
     m_draining = true;
     m_gateway.draining = true;
-    const Instant begun = Clock::now();
-    const Instant end = begun + m_settings.grace - internal::EndBeforeGrace;
-    const Instant callersMoved = begun + m_settings.locateLifetime + internal::AfterLifetime;
+    const Instant startedAt = Clock::now();
+    const Instant end = startedAt + m_settings.grace - internal::FinishMargin;
+    const Instant callersMoved = startedAt + m_settings.locateLifetime + internal::LifetimeMargin;
     m_events(Event::DrainStarted,
              { { "vm", m_settings.vm.value() },
                { "in_flight", m_gateway.inFlight },
@@ -306,16 +306,16 @@
         if (m_gateway.closing && m_gateway.inFlight == 0) {
             break;
         }
-        co_await pauseFor(m_worker.context, internal::DrainCheck);
+        co_await sleepFor(m_worker.context, internal::DrainPollInterval);
     }
     finish();
 }
 
 void GatewayProcess::finish()
 {
-    const std::uint64_t cut = m_gateway.inFlight;
-    m_events(Event::DrainFinished, { { "vm", m_settings.vm.value() }, { "in_flight", cut }, { "cut", cut } });
-    m_exitCode = cut == 0 ? 0 : 1;
+    const std::uint64_t aborted = m_gateway.inFlight;
+    m_events(Event::DrainFinished, { { "vm", m_settings.vm.value() }, { "in_flight", aborted }, { "cut", aborted } });
+    m_exitCode = aborted == 0 ? 0 : 1;
     m_worker.stop();
 }
 
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -11,17 +11,17 @@
 #include "mulberryplank/app/gatewaysettings.h"
 #include "mulberryplank/net/adminserver.h"
 #include "mulberryplank/net/budgetmessages.h"
+#include "mulberryplank/net/discoveryclient.h"
 #include "mulberryplank/net/fleetregistry.h"
 #include "mulberryplank/net/gatewayserver.h"
 #include "mulberryplank/net/memberservice.h"
-#include "mulberryplank/net/newsfollower.h"
 #include "mulberryplank/net/peertransport.h"
 #include "mulberryplank/net/reportbatch.h"
-#include "mulberryplank/net/seedkeeper.h"
-#include "mulberryplank/policy/entrychoice.h"
-#include "mulberryplank/policy/newspeer.h"
+#include "mulberryplank/net/seedpublisher.h"
+#include "mulberryplank/policy/ingresschoice.h"
+#include "mulberryplank/policy/peerchoice.h"
 #include "mulberryplank/policy/placement.h"
-#include "mulberryplank/policy/slackshare.h"
+#include "mulberryplank/policy/retryallowanceshare.h"
 
 #include "mulberryplank/net/clock.h"
 #include "storeclient.h"
@@ -35,18 +35,18 @@
 // What of the fleet's budget for extra attempts the gateways give themselves: those that have just started, or see
 // other members than the rest, may together take more than their shares, and some requests count for the attempts but
 // not for the budget.
-inline constexpr double BudgetGivenOut = 0.9;
+inline constexpr double DistributedBudgetShare = 0.9;
 
 // How long what can wait of the reports for other entries does so.
-inline constexpr Duration ReportHold = Millis(40);
+inline constexpr Duration MaxReportDelay = Millis(40);
 
-// What an entry keeps of its budget for its own requests when another one asks for some.
-inline constexpr double LenderKeeps = 3;
+// What an bootstrap keeps of its budget for its own requests when another one asks for some.
+inline constexpr double LenderReserve = 3;
 
 // How long another gateway that gave no answer isn't asked for news, nor one without a list of targets for that: the
 // latter has it within an interval between reads.
-inline constexpr Duration SilenceLasts = Seconds(2);
-inline constexpr Duration ListMissingLasts = Millis(500);
+inline constexpr Duration UnresponsivePeerLifetime = Seconds(2);
+inline constexpr Duration MissingListLifetime = Millis(500);
 
 } // namespace internal
 
@@ -73,7 +73,7 @@
     // Where to join: first the seeds of the own failure domain.
     struct Seeds {
         std::vector<Endpoint> peers;
-        std::size_t near = 0; // so many of them are those
+        std::size_t sameDomain = 0; // so many of them are those
     };
 
     // gatewayprocess.cpp
@@ -83,47 +83,47 @@
     boost::asio::awaitable<void> tickForever();
     void awaitSignal();
     void reloadSettings();
-    void noteFileChange();
+    void checkSettingsFile();
     boost::asio::awaitable<void> drain();
     void finish();
 
     // gatewayjoin.cpp: how the other gateways are found
     boost::asio::awaitable<void> joinFleetAndStart();
-    void startPeers(const FleetEntry &entry);
-    void takeDatagrams();
+    void startPeers(const FleetBootstrap &bootstrap);
+    void registerDatagramHandlers();
     void startMembers(const Seeds &seeds);
-    void beginNews();
-    void keepSeeds(std::vector<FleetSeed> seeds);
+    void startDiscovery();
+    void startSeedPublisher(std::vector<FleetSeed> seeds);
     FleetSeed ownSeed() const;
     Seeds otherSeeds(const std::vector<FleetSeed> &seeds) const;
 
     // gatewayfleet.cpp: the other gateways
-    void followMembers();
-    void takeReports(const std::vector<AttemptReport> &reports);
+    void applyMembers();
+    void mergeReports(const std::vector<AttemptReport> &reports);
     void notePeerUnreadable(const PeerSender &sender, const Error &error);
     void shareSuccesses();
     void sendReports(const std::vector<AttemptReport> &reports);
     void awaitReportsDue();
-    void askForBudget(const ServiceName &name);
+    void requestBudget(const ServiceName &name);
     void lendBudget(const PeerSender &sender, const BudgetMessage &message);
     void borrowBudget(const BudgetMessage &message);
-    void tellNewsChanged(const NewsHint &hint);
-    void tellNear(const NewsHint &hint);
-    std::vector<Member> membersNear() const;
-    boost::asio::awaitable<Result<PeerNews>> askPeer(PeerNewsRequest request);
-    boost::asio::awaitable<Result<PeerNews>> askPeerForList(PeerNewsRequest request);
-    boost::asio::awaitable<Result<PeerNews>> askReader(PeerNewsRequest request);
-    boost::asio::awaitable<Result<PeerNews>> ask(Member peer, PeerNewsRequest request, Duration limit);
-    bool isEntry() const;
-    bool anotherReads() const; // the store, for this failure domain
+    void announceAsReader(const UpdateHint &hint);
+    void announceInDomain(const UpdateHint &hint);
+    std::vector<Member> othersInDomain() const;
+    boost::asio::awaitable<Result<PeerUpdate>> queryPeer(PeerUpdateRequest request);
+    boost::asio::awaitable<Result<PeerUpdate>> queryPeerForList(PeerUpdateRequest request);
+    boost::asio::awaitable<Result<PeerUpdate>> queryReader(PeerUpdateRequest request);
+    boost::asio::awaitable<Result<PeerUpdate>> ask(Member peer, PeerUpdateRequest request, Duration timeout);
+    bool isIngress() const;
+    bool hasOtherReader() const; // the store, for this failure domain
     Member self() const;
     std::vector<Member> members() const;
-    LocateAnswer locate(const FailureDomain &callerDomain) const;
+    LocateResponse locate(const FailureDomain &callerDomain) const;
 
     // gatewayqueries.cpp: what others ask of the process
-    boost::asio::awaitable<AdminAnswer> answerReady(AdminRequest request);
-    boost::asio::awaitable<AdminAnswer> answerLocate(AdminRequest request);
-    boost::asio::awaitable<void> awaitJoined();
+    boost::asio::awaitable<AdminResponse> handleReady(AdminRequest request);
+    boost::asio::awaitable<AdminResponse> handleLocate(AdminRequest request);
+    boost::asio::awaitable<void> awaitJoin();
     bool isReady() const;
     std::uint64_t versionInForce() const; // of the configuration; 0: none yet
     std::string dump() const;
@@ -148,27 +148,28 @@
     std::map<ServiceName, std::unique_ptr<ForwardService>> m_services;
     std::unordered_map<TargetKey, KnownTarget> m_targetsByKey;
     GatewayContext m_gateway;
-    std::unique_ptr<NewsFollower> m_news;
+    std::unique_ptr<DiscoveryClient> m_discovery;
     std::unique_ptr<GatewayServer> m_server;
     AdminServer m_readyServer;
     AdminServer m_locateServer;
     std::unique_ptr<PeerTransport> m_peers; // from the moment on at which the fleet's key is known
     std::unique_ptr<MemberService> m_members; // likewise
-    std::unique_ptr<SeedKeeper> m_seeds; // likewise
-    std::size_t m_seedsNamed = 0; // in the store, as of the start
-    bool m_startsFirst = false; // with the whole fleet, for the first time
-    bool m_newsBegun = false;
+    std::unique_ptr<SeedPublisher> m_seeds; // likewise
+    std::size_t m_registeredSeeds = 0; // in the store, as of the start
+    bool m_isFirstStart = false; // with the whole fleet, for the first time
+    bool m_discoveryStarted = false;
     const Instant m_startedAt = Clock::now();
     ReportBatch m_reports; // for the other entries
     Timer m_reportsDue;
     bool m_awaitsReportsDue = false;
-    SlackShare m_slackShare; // of the fixed part of each service's budget
-    std::vector<Member> m_entries; // the gateways that callers are named
-    std::optional<Member> m_reader; // that reads the store for this failure domain; who knows the same members agrees
+    RetryAllowanceShare m_retryAllowanceShare; // of the fixed part of each service's budget
+    std::vector<Member> m_ingressMembers; // the gateways that callers are named
+    std::optional<Member>
+        m_designatedReader; // that reads the store for this failure domain; who knows the same members agrees
     bool m_readsConfiguration = false; // from the store
-    UnhelpfulPeers m_silentPeers { internal::SilenceLasts };
-    UnhelpfulPeers m_peersWithoutList { internal::ListMissingLasts };
-    std::shared_ptr<const std::vector<Member>> m_followed; // the members that m_entries were chosen from
+    RecentlyFailedPeers m_unresponsivePeers { internal::UnresponsivePeerLifetime };
+    RecentlyFailedPeers m_peersWithoutList { internal::MissingListLifetime };
+    std::shared_ptr<const std::vector<Member>> m_appliedMembers; // the members that m_ingressMembers were chosen from
     boost::asio::signal_set m_signals;
     std::filesystem::file_time_type m_fileTime {};
     Instant m_nextFileCheck {};
--- a/src/app/gatewaysettings.cpp
+++ b/src/app/gatewaysettings.cpp
@@ -13,33 +13,33 @@
 {
 
 constexpr const char *ConfigVariable = "MULBERRYPLANK_CONFIG";
-constexpr double MostSeconds = 3'600;
-constexpr std::uint64_t MostEntries = 64; // callers take no more addresses
+constexpr double MaxSeconds = 3'600;
+constexpr std::uint64_t MaxIngressProxies = 64; // callers take no more addresses
 
 using GatewayRow = SettingRow<GatewaySettings>;
 
 // Reads a number of units, of which so many make a second.
-template<Duration GatewaySettings::*Place, int UnitsPerSecond>
-bool storeSpanAt(GatewaySettings &settings, const std::string &value)
+template<Duration GatewaySettings::*Field, int UnitsPerSecond>
+bool storeDurationAt(GatewaySettings &settings, const std::string &value)
 {
-    const std::optional<double> number = parseDecimal(value, 0.001, MostSeconds * UnitsPerSecond);
-    settings.*Place = number ? fromSeconds(*number / UnitsPerSecond) : settings.*Place;
+    const std::optional<double> number = parseDecimal(value, 0.001, MaxSeconds * UnitsPerSecond);
+    settings.*Field = number ? fromSeconds(*number / UnitsPerSecond) : settings.*Field;
     return number.has_value();
 }
 
-template<double GatewaySettings::*Place, int Most>
+template<double GatewaySettings::*Field, int Max>
 bool storeDecimalAt(GatewaySettings &settings, const std::string &value)
 {
-    const std::optional<double> number = parseDecimal(value, 0, Most);
-    settings.*Place = number.value_or(settings.*Place);
+    const std::optional<double> number = parseDecimal(value, 0, Max);
+    settings.*Field = number.value_or(settings.*Field);
     return number.has_value();
 }
 
-template<bool GatewaySettings::*Place>
+template<bool GatewaySettings::*Field>
 bool storeFlagAt(GatewaySettings &settings, const std::string &value)
 {
-    settings.*Place = value == "true";
-    return settings.*Place || value == "false";
+    settings.*Field = value == "true";
+    return settings.*Field || value == "false";
 }
 
 constexpr int InSeconds = 1; // units in a second
@@ -71,15 +71,15 @@
 {
     return {
         { { "heartbeat-ms", "MS", "1500", MillisecondsAllowed, "Between two heartbeats of a target.", {} },
-          storeSpanAt<&GatewaySettings::heartbeat, InMilliseconds> },
+          storeDurationAt<&GatewaySettings::heartbeat, InMilliseconds> },
         { { "grace-s", "S", "6", SecondsAllowed, "From SIGTERM until the process is killed.", {} },
-          storeSpanAt<&GatewaySettings::grace, InSeconds> },
+          storeDurationAt<&GatewaySettings::grace, InSeconds> },
         { { "locate-lifetime-s", "S", "2", SecondsAllowed, "How long callers may keep an answer of locate.", {} },
-          storeSpanAt<&GatewaySettings::locateLifetime, InSeconds> },
+          storeDurationAt<&GatewaySettings::locateLifetime, InSeconds> },
         { { "retry-ratio", "N", "0.2", "0 to 10", "Extra attempts for each request of a service.", {} },
           storeDecimalAt<&GatewaySettings::retryRatio, 10> },
         { { "retry-window-s", "S", "10", SecondsAllowed, "The window in which extra attempts are counted.", {} },
-          storeSpanAt<&GatewaySettings::retryWindow, InSeconds> },
+          storeDurationAt<&GatewaySettings::retryWindow, InSeconds> },
         { { "retry-slack",
             "N",
             "10",
@@ -94,7 +94,7 @@
             "Gateways that callers of a failure domain are named, at least.",
             {} },
           [](GatewaySettings &settings, const std::string &value) {
-              const std::optional<std::uint64_t> number = parseNumber(value, 1, MostEntries);
+              const std::optional<std::uint64_t> number = parseNumber(value, 1, MaxIngressProxies);
               settings.entriesPerDomain = static_cast<std::uint32_t>(number.value_or(1));
               return number.has_value();
           } },
--- a/src/app/gatewaysettingstest.cpp
+++ b/src/app/gatewaysettingstest.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-// A gateway's surroundings with everything that must be given.
-class GatewaySurroundings
+// A gateway's fixture with everything that must be given.
+class SettingsFixture
 {
 public:
     Result<CheckedGatewaySettings> check() const
@@ -70,13 +70,13 @@
 
 TEST(GatewaySettings, valuesAreTakenFromFileEnvironmentAndFlagsInThatOrder)
 {
-    GatewaySurroundings surroundings;
-    surroundings.flags["config"] = writeFile(
+    SettingsFixture fixture;
+    fixture.flags["config"] = writeFile(
         "# comment\n\nMULBERRYPLANK_GRACE_S=7.5\nMULBERRYPLANK_HEARTBEAT_MS=900\nMULBERRYPLANK_RETRY_RATIO=0.5\n");
-    surroundings.variables["MULBERRYPLANK_HEARTBEAT_MS"] = "800";
-    surroundings.variables["MULBERRYPLANK_RETRY_RATIO"] = "0.4";
-    surroundings.flags["retry-ratio"] = "0.3";
-    const Result<CheckedGatewaySettings> checked = surroundings.check();
+    fixture.variables["MULBERRYPLANK_HEARTBEAT_MS"] = "800";
+    fixture.variables["MULBERRYPLANK_RETRY_RATIO"] = "0.4";
+    fixture.flags["retry-ratio"] = "0.3";
+    const Result<CheckedGatewaySettings> checked = fixture.check();
     CHECK_TRUE(checked.has_value());
     CHECK_TRUE(checked->settings.grace == Millis(7'500));
     CHECK_TRUE(checked->settings.heartbeat == Millis(800));
@@ -87,9 +87,9 @@
 {
     CHECK_EQUAL(gatewayOptions().size() - 1, badGatewayValues().size()); // all but the file
     for (const auto &[name, value] : badGatewayValues()) {
-        GatewaySurroundings surroundings;
-        surroundings.flags[name] = value;
-        const Result<CheckedGatewaySettings> checked = surroundings.check();
+        SettingsFixture fixture;
+        fixture.flags[name] = value;
+        const Result<CheckedGatewaySettings> checked = fixture.check();
         CHECK_FALSE(checked.has_value());
         CHECK_TRUE(checked.error().detail.find("--" + name + ": '" + value + "' is not allowed") != std::string::npos);
     }
@@ -97,9 +97,9 @@
 
 TEST(GatewaySettings, everythingThatMustBeGivenIsAskedFor)
 {
-    GatewaySurroundings surroundings;
-    surroundings.variables.clear();
-    const std::string detail = surroundings.check().error().detail;
+    SettingsFixture fixture;
+    fixture.variables.clear();
+    const std::string detail = fixture.check().error().detail;
     for (const char *name : { "--vm", "--failure-domain", "--listen", "--ready", "--locate", "--peer", "--store" }) {
         CHECK_TRUE(detail.find(name) != std::string::npos);
     }
@@ -107,9 +107,9 @@
 
 TEST(GatewaySettings, fileThatCannotBeReadIsNamed)
 {
-    GatewaySurroundings surroundings;
-    surroundings.flags["config"] = "/nonexistent/gateway.env";
-    CHECK_TRUE(surroundings.check().error().detail.find("/nonexistent/gateway.env") != std::string::npos);
+    SettingsFixture fixture;
+    fixture.flags["config"] = "/nonexistent/gateway.env";
+    CHECK_TRUE(fixture.check().error().detail.find("/nonexistent/gateway.env") != std::string::npos);
 }
 
 TEST(GatewaySettings, badLinesOfAFileAreNamedByPlace)
@@ -125,10 +125,10 @@
     std::stringstream page;
     page << file.rdbuf();
     for (const OptionInfo &option : gatewayOptions()) {
-        const std::string fallback = !option.fallback           ? "must be given"
-                                     : option.fallback->empty() ? "none"
-                                                                : *option.fallback;
-        const std::string row = "| `--" + option.name + "` | " + fallback + " |";
+        const std::string defaultValue = !option.defaultValue           ? "must be given"
+                                         : option.defaultValue->empty() ? "none"
+                                                                        : *option.defaultValue;
+        const std::string row = "| `--" + option.name + "` | " + defaultValue + " |";
         CHECK_TRUE_TEXT(page.str().find(row) != std::string::npos, row.c_str());
     }
 }
--- a/src/app/httpexchange.cpp
+++ b/src/app/httpexchange.cpp
@@ -22,40 +22,40 @@
 namespace http = boost::beast::http;
 
 // A dump of a large process is the largest answer there is.
-constexpr std::uint64_t LargestAnswer = 256ULL * 1024 * 1024;
+constexpr std::uint64_t MaxResponseSize = 256ULL * 1024 * 1024;
 
-http::request<http::string_body> requestOf(const HttpCall &call)
+http::request<http::string_body> makeHttpRequest(const HttpRequest &httpRequest)
 {
-    http::request<http::string_body> request(http::string_to_verb(call.method), call.path, 11);
-    request.set(http::field::host, toString(call.to));
+    http::request<http::string_body> request(http::string_to_verb(httpRequest.method), httpRequest.path, 11);
+    request.set(http::field::host, toString(httpRequest.to));
     request.set(http::field::connection, "close");
-    if (!call.bearer.empty()) {
-        request.set(http::field::authorization, "Bearer " + call.bearer);
+    if (!httpRequest.bearerToken.empty()) {
+        request.set(http::field::authorization, "Bearer " + httpRequest.bearerToken);
     }
-    request.body() = call.body;
+    request.body() = httpRequest.body;
     request.prepare_payload();
     return request;
 }
 
 // Throws boost::system::system_error when anything fails; `connected` tells whether that was before or after the
 // first byte.
-asio::awaitable<HttpReply> exchange(const HttpCall &call, bool &connected)
+asio::awaitable<HttpResponse> exchange(const HttpRequest &httpRequest, bool &connected)
 {
     beast::tcp_stream stream(co_await asio::this_coro::executor);
-    stream.expires_after(call.timeout);
-    const asio::ip::tcp::endpoint to(asio::ip::make_address(call.to.host), call.to.port);
+    stream.expires_after(httpRequest.timeout);
+    const asio::ip::tcp::endpoint to(asio::ip::make_address(httpRequest.to.host), httpRequest.to.port);
     co_await stream.async_connect(to, asio::use_awaitable);
     connected = true;
-    const http::request<http::string_body> request = requestOf(call);
+    const http::request<http::string_body> request = makeHttpRequest(httpRequest);
     co_await http::async_write(stream, request, asio::use_awaitable);
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(LargestAnswer);
+    parser.body_limit(MaxResponseSize);
     co_await http::async_read(stream, buffer, parser, asio::use_awaitable);
-    co_return HttpReply { static_cast<int>(parser.get().result_int()), std::move(parser.get().body()) };
+    co_return HttpResponse { static_cast<int>(parser.get().result_int()), std::move(parser.get().body()) };
 }
 
-ErrorKind kindOf(const boost::system::system_error &problem, bool connected)
+ErrorKind errorKindOf(const boost::system::system_error &problem, bool connected)
 {
     if (!connected) {
         return ErrorKind::ConnectFailed;
@@ -63,16 +63,16 @@
     return problem.code() == beast::error::timeout ? ErrorKind::TargetTimeout : ErrorKind::TargetReset;
 }
 
-Result<HttpReply> exchangeOverTcp(const HttpCall &call)
+Result<HttpResponse> exchangeOverTcp(const HttpRequest &httpRequest)
 {
     asio::io_context context;
     bool connected = false;
-    auto reply = asio::co_spawn(context, exchange(call, connected), asio::use_future);
+    auto response = asio::co_spawn(context, exchange(httpRequest, connected), asio::use_future);
     context.run();
     try {
-        return reply.get();
+        return response.get();
     } catch (const boost::system::system_error &problem) {
-        return failure(kindOf(problem, connected), toString(call.to) + ": " + problem.code().message());
+        return failure(errorKindOf(problem, connected), toString(httpRequest.to) + ": " + problem.code().message());
     }
 }
 
--- a/src/app/itemcsv.cpp
+++ b/src/app/itemcsv.cpp
@@ -21,67 +21,67 @@
 namespace
 {
 
-constexpr std::uint64_t MostMillis = 86'400'000;
-constexpr std::uint64_t MostCount = 1'000'000;
-constexpr double MostRequestsPerSecond = 1e9;
+constexpr std::uint64_t MaxMillis = 86'400'000;
+constexpr std::uint64_t MaxCount = 1'000'000;
+constexpr double MaxRequestsPerSecond = 1e9;
 constexpr const char *MillisAllowed = "1 to 86400000 (milliseconds)";
 constexpr const char *CountAllowed = "1 to 1000000";
 constexpr const char *LimitAllowed = "0 (no limit) to 4294967295";
 
 template<typename Name>
-bool storeName(Name &place, const std::string &value)
+bool storeName(Name &destination, const std::string &value)
 {
-    place = Name(value);
+    destination = Name(value);
     return isItemName(value);
 }
 
 template<typename Number>
-bool storeNumber(Number &place, const std::string &value, std::uint64_t least, std::uint64_t most)
+bool storeNumber(Number &destination, const std::string &value, std::uint64_t minimum, std::uint64_t maximum)
 {
-    const std::optional<std::uint64_t> number = parseNumber(value, least, most);
-    place = number ? static_cast<Number>(*number) : place;
+    const std::optional<std::uint64_t> number = parseNumber(value, minimum, maximum);
+    destination = number ? static_cast<Number>(*number) : destination;
     return number.has_value();
 }
 
 // Spreadsheets of some languages write a decimal comma.
-bool storeDecimal(double &place, std::string value, double most)
+bool storeDecimal(double &destination, std::string value, double maximum)
 {
     std::replace(value.begin(), value.end(), ',', '.');
     double number = 0;
     const char *end = value.data() + value.size();
     const auto [stop, problem] = std::from_chars(value.data(), end, number, std::chars_format::fixed);
-    if (problem != std::errc() || stop != end || !(number >= 0 && number <= most)) {
+    if (problem != std::errc() || stop != end || !(number >= 0 && number <= maximum)) {
         return false;
     }
-    place = number;
+    destination = number;
     return true;
 }
 
-bool storeMillis(Millis &place, const std::string &value)
+bool storeMillis(Millis &destination, const std::string &value)
 {
-    const std::optional<std::uint64_t> number = parseNumber(value, 1, MostMillis);
-    place = number ? Millis(*number) : place;
+    const std::optional<std::uint64_t> number = parseNumber(value, 1, MaxMillis);
+    destination = number ? Millis(*number) : destination;
     return number.has_value();
 }
 
-// Spreadsheets write truth values in capitals.
-bool storeTruth(bool &place, std::string value)
+// Spreadsheets write truth values in upperCase.
+bool storeBool(bool &destination, std::string value)
 {
     std::transform(value.begin(), value.end(), value.begin(), [](unsigned char letter) {
         return static_cast<char>(std::tolower(letter));
     });
-    place = value == "yes" || value == "true";
-    return place || value == "no" || value == "false";
+    destination = value == "yes" || value == "true";
+    return destination || value == "no" || value == "false";
 }
 
 // Callers show "ACCOUNT.SECRET" as a bearer token, so a secret holds no dot and nothing that a header may not carry.
 bool storeSecret(Account &account, const std::string &secret)
 {
-    const bool fits = std::all_of(secret.begin(), secret.end(), [](unsigned char letter) {
+    const bool valid = std::all_of(secret.begin(), secret.end(), [](unsigned char letter) {
         return std::isgraph(letter) != 0 && letter != '.';
     });
     account.secretDigest = digestOf(secret);
-    return fits && secret.size() >= LeastSecretLength;
+    return valid && secret.size() >= MinSecretLength;
 }
 
 bool storeDetection(Service &service, const std::string &value)
@@ -101,10 +101,10 @@
 bool storeMethod(Route &route, const std::string &value)
 {
     route.method = value;
-    const bool capitals = std::all_of(value.begin(), value.end(), [](char letter) {
+    const bool upperCase = std::all_of(value.begin(), value.end(), [](char letter) {
         return letter >= 'A' && letter <= 'Z';
     });
-    return value == "*" || (capitals && !value.empty());
+    return value == "*" || (upperCase && !value.empty());
 }
 
 bool storePathPrefix(Route &route, const std::string &value)
@@ -150,19 +150,19 @@
           "0 to 1000000",
           false,
           [](Service &service, const std::string &value) {
-              return storeNumber(service.floorCount, value, 0, MostCount);
+              return storeNumber(service.floorCount, value, 0, MaxCount);
           } },
         { "slots_per_target",
           CountAllowed,
           false,
           [](Service &service, const std::string &value) {
-              return storeNumber(service.slotsPerTarget, value, 1, MostCount);
+              return storeNumber(service.slotsPerTarget, value, 1, MaxCount);
           } },
         { "connections_per_target",
           CountAllowed,
           false,
           [](Service &service, const std::string &value) {
-              return storeNumber(service.connectionsPerTarget, value, 1, MostCount);
+              return storeNumber(service.connectionsPerTarget, value, 1, MaxCount);
           } },
     };
     return Columns;
@@ -200,7 +200,7 @@
           "yes, no, true or false",
           true,
           [](RouteLine &line, const std::string &value) {
-              return storeTruth(line.route.idempotent, value);
+              return storeBool(line.route.idempotent, value);
           } },
         { "timeout_ms",
           MillisAllowed,
@@ -252,7 +252,7 @@
 
 const std::vector<CsvColumn<Row>> &rowColumns()
 {
-    constexpr std::uint64_t MostLimit = std::numeric_limits<std::uint32_t>::max();
+    constexpr std::uint64_t MaxLimit = std::numeric_limits<std::uint32_t>::max();
     static const std::vector<CsvColumn<Row>> Columns {
         { "weight",
           "1 to 10000",
@@ -264,19 +264,19 @@
           "0 (no limit) to 1000000000",
           false,
           [](Row &row, const std::string &value) {
-              return storeDecimal(row.limits.requestsPerSecond, value, MostRequestsPerSecond);
+              return storeDecimal(row.limits.requestsPerSecond, value, MaxRequestsPerSecond);
           } },
         { "in_flight",
           LimitAllowed,
           false,
           [](Row &row, const std::string &value) {
-              return storeNumber(row.limits.inFlight, value, 0, MostLimit);
+              return storeNumber(row.limits.inFlight, value, 0, MaxLimit);
           } },
         { "queue",
           LimitAllowed,
           false,
           [](Row &row, const std::string &value) {
-              return storeNumber(row.limits.queue, value, 0, MostLimit);
+              return storeNumber(row.limits.queue, value, 0, MaxLimit);
           } },
     };
     return Columns;
@@ -306,7 +306,7 @@
 
 // Returns the first name that stands in two lines, as an error.
 template<typename Item>
-Result<std::vector<Item>> refuseTwice(const CsvFile &file, Result<std::vector<Item>> items)
+Result<std::vector<Item>> rejectDuplicates(const CsvFile &file, Result<std::vector<Item>> items)
 {
     if (!items) {
         return items;
@@ -329,22 +329,22 @@
 
 Result<std::vector<Account>> parseAccounts(const CsvFile &file)
 {
-    return internal::refuseTwice(file, itemsOf(file, internal::accountColumns()));
+    return internal::rejectDuplicates(file, parseItems(file, internal::accountColumns()));
 }
 
 Result<std::vector<Service>> parseServices(const CsvFile &file)
 {
-    return internal::refuseTwice(file, itemsOf(file, internal::serviceColumns()));
+    return internal::rejectDuplicates(file, parseItems(file, internal::serviceColumns()));
 }
 
 Result<std::vector<RouteLine>> parseRoutes(const CsvFile &file)
 {
-    return itemsOf(file, internal::routeColumns());
+    return parseItems(file, internal::routeColumns());
 }
 
 Result<std::vector<Target>> parseTargets(const CsvFile &file)
 {
-    return internal::refuseTwice(file, itemsOf(file, internal::targetColumns()));
+    return internal::rejectDuplicates(file, parseItems(file, internal::targetColumns()));
 }
 
 Result<void> setField(Row &row, const std::string &heading, const std::string &value)
@@ -359,11 +359,11 @@
 
 bool isItemName(const std::string &name)
 {
-    const bool plain = std::all_of(name.begin(), name.end(), [](unsigned char letter) {
+    const bool validCharacters = std::all_of(name.begin(), name.end(), [](unsigned char letter) {
         return std::isalnum(letter) != 0
                || std::string_view("._-:@").find(static_cast<char>(letter)) != std::string_view::npos;
     });
-    return plain && !name.empty() && name.size() <= MaxNameLength;
+    return validCharacters && !name.empty() && name.size() <= MaxNameLength;
 }
 
 } // namespace mulberryplank
--- a/src/app/itemdiff.cpp
+++ b/src/app/itemdiff.cpp
@@ -14,61 +14,61 @@
 {
 
 // Room for the record's frame: format, id and brackets.
-constexpr std::size_t RecordFrame = 1024;
+constexpr std::size_t RecordOverhead = 1024;
 
 // One field of an item as people read it.
-struct ShownField {
+struct DisplayField {
     std::string heading;
     std::string value;
 };
 
 template<typename Number>
-std::string shown(Number number)
+std::string formatNumber(Number number)
 {
     std::array<char, 32> text {};
     const auto end = std::to_chars(text.data(), text.data() + text.size(), number);
     return { text.data(), end.ptr };
 }
 
-std::vector<ShownField> fieldsOf(const Row &row)
+std::vector<DisplayField> displayFields(const Row &row)
 {
-    return { { "weight", shown(row.weight) },
-             { "requests_per_second", shown(row.limits.requestsPerSecond) },
-             { "in_flight", shown(row.limits.inFlight) },
-             { "queue", shown(row.limits.queue) } };
+    return { { "weight", formatNumber(row.weight) },
+             { "requests_per_second", formatNumber(row.limits.requestsPerSecond) },
+             { "in_flight", formatNumber(row.limits.inFlight) },
+             { "queue", formatNumber(row.limits.queue) } };
 }
 
-std::string shownRoute(const Route &route)
+std::string formatRoute(const Route &route)
 {
     return route.name + ":" + route.method + ":" + route.pathPrefix + ":" + (route.idempotent ? "idempotent" : "once")
-           + ":" + shown(route.timeout.count()) + "ms:" + shown(route.progressTimeout.count()) + "ms";
+           + ":" + formatNumber(route.timeout.count()) + "ms:" + formatNumber(route.progressTimeout.count()) + "ms";
 }
 
-std::vector<ShownField> fieldsOf(const Service &service)
+std::vector<DisplayField> displayFields(const Service &service)
 {
-    std::vector<ShownField> fields { { "detection", std::string(toString(service.detection)) },
-                                     { "floor_share", shown(service.floorShare) },
-                                     { "floor_count", shown(service.floorCount) },
-                                     { "slots_per_target", shown(service.slotsPerTarget) },
-                                     { "connections_per_target", shown(service.connectionsPerTarget) } };
+    std::vector<DisplayField> fields { { "detection", std::string(toString(service.detection)) },
+                                       { "floor_share", formatNumber(service.floorShare) },
+                                       { "floor_count", formatNumber(service.floorCount) },
+                                       { "slots_per_target", formatNumber(service.slotsPerTarget) },
+                                       { "connections_per_target", formatNumber(service.connectionsPerTarget) } };
     std::string routes;
     for (const Route &route : service.routes) {
-        routes += (routes.empty() ? "" : " ") + shownRoute(route);
+        routes += (routes.empty() ? "" : " ") + formatRoute(route);
     }
     fields.push_back({ "routes", "[" + routes + "]" });
     return fields;
 }
 
-std::vector<ShownField> fieldsOf(const Target &target)
+std::vector<DisplayField> displayFields(const Target &target)
 {
     return { { "service", target.service.value() },
              { "host", target.host },
-             { "port", shown(target.port) },
+             { "port", formatNumber(target.port) },
              { "failure_domain", target.failureDomain.value() } };
 }
 
 // Returns "heading old -> new" for each field that differs, or nothing where none does.
-std::string fieldChanges(const std::vector<ShownField> &before, const std::vector<ShownField> &after)
+std::string formatFieldChanges(const std::vector<DisplayField> &before, const std::vector<DisplayField> &after)
 {
     std::string text;
     for (std::size_t index = 0; index < after.size(); ++index) {
@@ -80,17 +80,17 @@
     return text;
 }
 
-std::string fieldValues(const std::vector<ShownField> &fields)
+std::string formatFieldValues(const std::vector<DisplayField> &fields)
 {
     std::string text;
-    for (const ShownField &field : fields) {
+    for (const DisplayField &field : fields) {
         text += (text.empty() ? "" : ", ") + field.heading + " " + field.value;
     }
     return text;
 }
 
 template<typename Item>
-std::map<std::string, const Item *> byLabel(const std::vector<Item> &items)
+std::map<std::string, const Item *> indexByLabel(const std::vector<Item> &items)
 {
     std::map<std::string, const Item *> index;
     for (const Item &item : items) {
@@ -105,11 +105,11 @@
 {
     const std::string label = itemLabel(after);
     if (!before) {
-        diff.lines.push_back("+ " + label + ": " + fieldValues(fieldsOf(after)));
+        diff.lines.push_back("+ " + label + ": " + formatFieldValues(displayFields(after)));
         diff.changes.push_back({ after, false });
         return;
     }
-    const std::string changes = fieldChanges(fieldsOf(*before), fieldsOf(after));
+    const std::string changes = formatFieldChanges(displayFields(*before), displayFields(after));
     if (!changes.empty()) {
         diff.lines.push_back("~ " + label + ": " + changes);
         diff.changes.push_back({ after, false });
@@ -130,13 +130,13 @@
 ItemDiff rowDiff(const std::vector<Row> &current, const std::vector<Row> &wanted, bool removeMissing)
 {
     ItemDiff diff;
-    const auto present = internal::byLabel(current);
+    const auto currentByLabel = internal::indexByLabel(current);
     for (const Row &row : wanted) {
-        const Row *before = internal::find(present, row);
-        const std::size_t known = diff.changes.size();
+        const Row *before = internal::find(currentByLabel, row);
+        const std::size_t changeCount = diff.changes.size();
         internal::addChange(diff, before, row);
         const mulberryplank::Version version = before ? before->version : 0;
-        if (diff.changes.size() > known && row.version != version) {
+        if (diff.changes.size() > changeCount && row.version != version) {
             diff.stale.push_back(itemLabel(row) + ": the file has version " + std::to_string(row.version)
                                  + ", in force is " + std::to_string(version));
         }
@@ -144,10 +144,11 @@
     if (!removeMissing) {
         return diff;
     }
-    const auto kept = internal::byLabel(wanted);
+    const auto wantedByLabel = internal::indexByLabel(wanted);
     for (const Row &row : current) {
-        if (!internal::find(kept, row)) {
-            diff.lines.push_back("- " + itemLabel(row) + ": " + internal::fieldValues(internal::fieldsOf(row)));
+        if (!internal::find(wantedByLabel, row)) {
+            diff.lines.push_back("- " + itemLabel(row) + ": "
+                                 + internal::formatFieldValues(internal::displayFields(row)));
             diff.changes.push_back({ row, true });
         }
     }
@@ -157,9 +158,9 @@
 ItemDiff serviceDiff(const std::vector<Service> &current, std::vector<Service> wanted, bool withRoutes)
 {
     ItemDiff diff;
-    const auto present = internal::byLabel(current);
+    const auto currentByLabel = internal::indexByLabel(current);
     for (Service &service : wanted) {
-        const Service *before = internal::find(present, service);
+        const Service *before = internal::find(currentByLabel, service);
         service.version = before ? before->version : 0;
         if (before && !withRoutes) {
             service.routes = before->routes;
@@ -172,9 +173,9 @@
 ItemDiff targetDiff(const std::vector<Target> &current, std::vector<Target> wanted)
 {
     ItemDiff diff;
-    const auto present = internal::byLabel(current);
+    const auto currentByLabel = internal::indexByLabel(current);
     for (Target &target : wanted) {
-        const Target *before = internal::find(present, target);
+        const Target *before = internal::find(currentByLabel, target);
         target.version = before ? before->version : 0;
         internal::addChange(diff, before, target);
     }
@@ -184,9 +185,9 @@
 ItemDiff accountDiff(const std::vector<Account> &current, std::vector<Account> wanted)
 {
     ItemDiff diff;
-    const auto present = internal::byLabel(current);
+    const auto currentByLabel = internal::indexByLabel(current);
     for (Account &account : wanted) {
-        const Account *before = internal::find(present, account);
+        const Account *before = internal::find(currentByLabel, account);
         account.version = before ? before->version : 0;
         diff.lines.push_back((before ? "~ " : "+ ") + itemLabel(account) + ": secret set");
         diff.changes.push_back({ account, false });
@@ -199,12 +200,12 @@
     std::vector<std::vector<Change>> parts;
     std::size_t size = MaxRecordSize;
     for (const Change &change : changes) {
-        const std::size_t room = encodeEdit({ {}, { change } }).size();
-        if (size + room > MaxRecordSize - internal::RecordFrame) {
+        const std::size_t encodedSize = encodeEdit({ {}, { change } }).size();
+        if (size + encodedSize > MaxRecordSize - internal::RecordOverhead) {
             parts.emplace_back();
             size = 0;
         }
-        size += room;
+        size += encodedSize;
         parts.back().push_back(change);
     }
     return parts;
--- a/src/app/keyfile.cpp
+++ b/src/app/keyfile.cpp
@@ -18,7 +18,7 @@
     const bool printable = std::all_of(line.begin(), line.end(), [](unsigned char letter) {
         return std::isgraph(letter) != 0;
     });
-    return printable && line.size() >= LeastKeyLength;
+    return printable && line.size() >= MinKeyLength;
 }
 
 } // namespace
@@ -43,7 +43,7 @@
         if (!internal::isKey(line)) {
             return failure(ErrorKind::BadConfiguration,
                            path + " line " + std::to_string(number) + ": a key has at least "
-                               + std::to_string(LeastKeyLength) + " characters and no blanks");
+                               + std::to_string(MinKeyLength) + " characters and no blanks");
         }
         keys.push_back(line);
     }
--- a/src/app/linewriter.cpp
+++ b/src/app/linewriter.cpp
@@ -16,7 +16,7 @@
 {
 }
 
-bool LineRate::take(Instant now)
+bool LineRate::tryAcquire(Instant now)
 {
     const double gained = toSeconds(now - m_filledAt) * m_perSecond;
     m_tokens = std::min(m_tokens + std::max(gained, 0.0), m_burst);
@@ -60,14 +60,14 @@
     const std::lock_guard lock(m_mutex);
     flush();
     const bool fits = m_pending.size() + line.size() <= m_settings.bufferBytes;
-    const bool allowed = (important ? m_important : m_routine).take(now);
+    const bool allowed = (important ? m_important : m_routine).tryAcquire(now);
     if (!fits || !allowed) {
         ++m_dropped;
         return;
     }
-    if (m_dropped > m_told) {
-        m_pending += std::string(LinesDroppedMark) + std::to_string(m_dropped - m_told) + "\n";
-        m_told = m_dropped;
+    if (m_dropped > m_reportedDropped) {
+        m_pending += std::string(LinesDroppedPrefix) + std::to_string(m_dropped - m_reportedDropped) + "\n";
+        m_reportedDropped = m_dropped;
     }
     m_pending += line;
     flush();
--- a/src/app/linewritertest.cpp
+++ b/src/app/linewritertest.cpp
@@ -32,9 +32,9 @@
         return m_ends[1];
     }
 
-    std::string read(std::size_t most)
+    std::string read(std::size_t maxSize)
     {
-        std::string bytes(most, '\0');
+        std::string bytes(maxSize, '\0');
         const ssize_t size = ::read(m_ends[0], bytes.data(), bytes.size());
         bytes.resize(size < 0 ? 0 : static_cast<std::size_t>(size));
         return bytes;
--- a/src/app/logline.cpp
+++ b/src/app/logline.cpp
@@ -19,13 +19,13 @@
 
 namespace x3 = boost::spirit::x3;
 
-const x3::uint_parser<unsigned char, 16, 2, 2> CodeOfLetter;
+const x3::uint_parser<unsigned char, 16, 2, 2> HexCode;
 
 // The grammar of formatEvent()'s lines.
 const auto Word = x3::rule<struct WordRule, std::string> { "word" } = +~x3::char_(' ');
 const auto Escaped = x3::rule<struct EscapedRule, char> {
     "escaped"
-} = '\\' >> (x3::char_("\"\\") | ('n' >> x3::attr('\n')) | ('r' >> x3::attr('\r')) | ('x' >> CodeOfLetter));
+} = '\\' >> (x3::char_("\"\\") | ('n' >> x3::attr('\n')) | ('r' >> x3::attr('\r')) | ('x' >> HexCode));
 const auto Quoted = x3::rule<struct QuotedRule, std::string> { "quoted" } = '"' >> *(Escaped | ~x3::char_("\"\\"))
                                                                             >> '"';
 const auto Bare = x3::rule<struct BareRule, std::string> { "bare" } = *~x3::char_(" \"");
@@ -55,8 +55,8 @@
 {
     LogLine parsed;
     auto begin = text.begin();
-    const bool whole = internal::x3::parse(begin, text.end(), internal::Line, parsed) && begin == text.end();
-    return whole ? std::optional(std::move(parsed)) : std::nullopt;
+    const bool complete = internal::x3::parse(begin, text.end(), internal::Line, parsed) && begin == text.end();
+    return complete ? std::optional(std::move(parsed)) : std::nullopt;
 }
 
 } // namespace mulberryplank
--- a/src/app/options.cpp
+++ b/src/app/options.cpp
@@ -37,14 +37,14 @@
     return !option.accepts || option.accepts(value);
 }
 
-std::string allowedFor(const OptionInfo &option)
+std::string allowedValues(const OptionInfo &option)
 {
     return isSwitch(option) ? "1 or 0" : option.allowed;
 }
 
-std::string refusal(const std::string &source, const std::string &value, const OptionInfo &option)
+std::string formatRefusal(const std::string &source, const std::string &value, const OptionInfo &option)
 {
-    return source + ": '" + value + "' is not allowed; allowed: " + allowedFor(option);
+    return source + ": '" + value + "' is not allowed; allowed: " + allowedValues(option);
 }
 
 std::vector<option> longOptions(const std::vector<OptionInfo> &options)
@@ -86,7 +86,7 @@
         const OptionInfo &found = options.at(static_cast<std::size_t>(code - FirstOptionCode));
         const std::string value = isSwitch(found) ? "1" : optarg;
         if (!accepts(found, value)) {
-            problems.push_back(refusal(flagOf(found), value, found));
+            problems.push_back(formatRefusal(flagName(found), value, found));
         }
         result.values[found.name] = { value, Origin::Flag };
     }
@@ -100,24 +100,25 @@
                      OptionValues &result,
                      std::vector<std::string> &problems)
 {
-    const std::string variable = variableOf(option);
+    const std::string variable = variableName(option);
     const std::optional<std::string> value = environment(variable);
     if (!value) {
         return;
     }
     if (!accepts(option, *value)) {
-        problems.push_back(refusal(variable, *value, option));
+        problems.push_back(formatRefusal(variable, *value, option));
     }
     const bool switchedOff = isSwitch(option) && *value == "0";
     result.values[option.name] = { switchedOff ? "" : *value, Origin::Environment };
 }
 
-void takeDefault(const OptionInfo &option, OptionValues &result, std::vector<std::string> &problems)
+void applyDefault(const OptionInfo &option, OptionValues &result, std::vector<std::string> &problems)
 {
-    if (!option.fallback && !isSwitch(option)) {
-        problems.push_back(flagOf(option) + " (or " + variableOf(option) + "): missing; allowed: " + option.allowed);
+    if (!option.defaultValue && !isSwitch(option)) {
+        problems.push_back(flagName(option) + " (or " + variableName(option)
+                           + "): missing; allowed: " + option.allowed);
     }
-    result.values[option.name] = { option.fallback.value_or(""), Origin::Default };
+    result.values[option.name] = { option.defaultValue.value_or(""), Origin::Default };
 }
 
 } // namespace
@@ -141,12 +142,12 @@
     return Names.at(static_cast<std::size_t>(origin));
 }
 
-std::string flagOf(const OptionInfo &option)
+std::string flagName(const OptionInfo &option)
 {
     return "--" + option.name;
 }
 
-std::string variableOf(const OptionInfo &option)
+std::string variableName(const OptionInfo &option)
 {
     std::string variable(internal::VariablePrefix);
     for (const char letter : option.name) {
@@ -168,7 +169,7 @@
             internal::readEnvironment(option, environment, result, problems);
         }
         if (!result.values.contains(option.name)) {
-            internal::takeDefault(option, result, problems);
+            internal::applyDefault(option, result, problems);
         }
     }
     if (!problems.empty()) {
@@ -181,37 +182,37 @@
 {
     std::string text;
     for (const OptionInfo &option : options) {
-        text += "  " + flagOf(option) + (internal::isSwitch(option) ? "" : " " + option.placeholder) + "\n";
+        text += "  " + flagName(option) + (internal::isSwitch(option) ? "" : " " + option.placeholder) + "\n";
         text += "      " + option.help + "\n";
         if (internal::isSwitch(option)) {
-            text += "      Variable: " + variableOf(option) + " (1 or 0)\n";
+            text += "      Variable: " + variableName(option) + " (1 or 0)\n";
             continue;
         }
         text += "      Allowed: " + option.allowed + ". ";
-        text +=
-            option.fallback ? "Default: " + (option.fallback->empty() ? "none" : *option.fallback) : "Must be given";
-        text += ". Variable: " + variableOf(option) + "\n";
+        text += option.defaultValue ? "Default: " + (option.defaultValue->empty() ? "none" : *option.defaultValue)
+                                    : "Must be given";
+        text += ". Variable: " + variableName(option) + "\n";
     }
     return text;
 }
 
-std::optional<std::uint64_t> parseNumber(std::string_view text, std::uint64_t least, std::uint64_t most)
+std::optional<std::uint64_t> parseNumber(std::string_view text, std::uint64_t minimum, std::uint64_t maximum)
 {
     std::uint64_t number = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), number);
-    const bool whole = problem == std::errc() && end == text.data() + text.size();
-    if (!whole || number < least || number > most) {
+    const bool complete = problem == std::errc() && end == text.data() + text.size();
+    if (!complete || number < minimum || number > maximum) {
         return std::nullopt;
     }
     return number;
 }
 
-std::optional<double> parseDecimal(const std::string &text, double least, double most)
+std::optional<double> parseDecimal(const std::string &text, double minimum, double maximum)
 {
     double number = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), number);
-    const bool whole = problem == std::errc() && end == text.data() + text.size();
-    if (!whole || !(number >= least && number <= most)) {
+    const bool complete = problem == std::errc() && end == text.data() + text.size();
+    if (!complete || !(number >= minimum && number <= maximum)) {
         return std::nullopt;
     }
     return number;
--- a/src/app/proxyadmin.cpp
+++ b/src/app/proxyadmin.cpp
@@ -17,11 +17,11 @@
 {
 
 constexpr std::uint64_t DefaultEditWaitMillis = 5'000;
-constexpr std::uint64_t MostEditWaitMillis = 60'000;
-constexpr Duration InForceInterval = Millis(20);
+constexpr std::uint64_t MaxEditWaitMillis = 60'000;
+constexpr Duration InForcePollInterval = Millis(20);
 
 template<typename Items>
-std::string arrayOf(const Items &items)
+std::string jsonArrayOf(const Items &items)
 {
     json::array array;
     for (const auto &item : items) {
@@ -30,69 +30,69 @@
     return json::serialize(array) + "\n";
 }
 
-AdminAnswer jsonAnswer(std::string body)
+AdminResponse jsonResponse(std::string body)
 {
-    return AdminAnswer { 200, "application/json", std::move(body) };
+    return AdminResponse { 200, "application/json", std::move(body) };
 }
 
 } // namespace internal
 
-asio::awaitable<AdminAnswer> ProxyProcess::answerOperator(AdminRequest request)
+asio::awaitable<AdminResponse> ProxyProcess::handleOperatorRequest(AdminRequest request)
 {
     if (request.method == "POST" && request.path == "/-/edit") {
-        co_return co_await answerEdit(std::move(request));
+        co_return co_await handleEdit(std::move(request));
     }
     if (request.method == "POST" && request.path == "/-/drain") {
         startDrain();
-        co_return internal::jsonAnswer("{\"draining\":true}\n");
+        co_return internal::jsonResponse("{\"draining\":true}\n");
     }
     if (request.method == "GET") {
-        if (const std::optional<AdminAnswer> answer = answerQuery(request)) {
-            co_return *answer;
+        if (const std::optional<AdminResponse> response = handleQuery(request)) {
+            co_return *response;
         }
     }
-    co_return adminError(Error { ErrorKind::NotFound, "no such page: " + request.method + " " + request.path });
+    co_return adminErrorResponse(Error { ErrorKind::NotFound, "no such page: " + request.method + " " + request.path });
 }
 
-asio::awaitable<AdminAnswer> ProxyProcess::answerEdit(AdminRequest request)
+asio::awaitable<AdminResponse> ProxyProcess::handleEdit(AdminRequest request)
 {
     const Result<Edit> edit = decodeEdit(request.body);
     if (!edit) {
-        co_return adminError(edit.error());
+        co_return adminErrorResponse(edit.error());
     }
-    const std::uint64_t wanted = queryNumber(request.query, "wait_ms", internal::DefaultEditWaitMillis);
-    const Millis wait(std::min(wanted, internal::MostEditWaitMillis));
+    const std::uint64_t requestedWait = queryNumber(request.query, "wait_ms", internal::DefaultEditWaitMillis);
+    const Millis wait(std::min(requestedWait, internal::MaxEditWaitMillis));
     const Result<EditOutcome> outcome =
         co_await m_configSync->submit(*edit, std::max(wait, Millis(internal::DefaultEditWaitMillis)));
     if (!outcome) {
-        co_return adminError(outcome.error());
+        co_return adminErrorResponse(outcome.error());
     }
     if (outcome->status == EditStatus::Conflict) {
-        co_return adminError(Error { ErrorKind::Conflict, outcome->detail });
+        co_return adminErrorResponse(Error { ErrorKind::Conflict, outcome->detail });
     }
     if (outcome->status != EditStatus::Accepted) {
-        co_return adminError(Error { ErrorKind::BadConfiguration, outcome->detail });
+        co_return adminErrorResponse(Error { ErrorKind::BadConfiguration, outcome->detail });
     }
-    followConfiguration();
-    Timer pause(m_control);
+    applyConfiguration();
+    Timer timer(m_control);
     const Instant deadline = Clock::now() + wait;
     while (!isInForceEverywhere(outcome->offset) && Clock::now() < deadline) {
-        pause.expires_after(internal::InForceInterval);
-        co_await pause.async_wait(asio::use_awaitable);
+        timer.expires_after(internal::InForcePollInterval);
+        co_await timer.async_wait(asio::use_awaitable);
     }
     json::array inForce;
     json::array missing;
     for (const Member &member : members()) {
-        const bool has = member.applied > outcome->offset;
-        if (has || member.status != MemberStatus::Dead) {
-            (has ? inForce : missing).push_back(toJsonString(member.vm.value()));
+        const bool isInForce = member.applied > outcome->offset;
+        if (isInForce || member.status != MemberStatus::Dead) {
+            (isInForce ? inForce : missing).push_back(toJsonString(member.vm.value()));
         }
     }
     const json::object body { { "status", "accepted" },
                               { "offset", outcome->offset },
                               { "in_force", std::move(inForce) },
                               { "missing", std::move(missing) } };
-    co_return internal::jsonAnswer(json::serialize(body) + "\n");
+    co_return internal::jsonResponse(json::serialize(body) + "\n");
 }
 
 bool ProxyProcess::isInForceEverywhere(Offset offset) const
@@ -105,45 +105,45 @@
     return true;
 }
 
-std::optional<AdminAnswer> ProxyProcess::answerQuery(const AdminRequest &request) const
+std::optional<AdminResponse> ProxyProcess::handleQuery(const AdminRequest &request) const
 {
     std::string body;
     if (request.path == "/-/table") {
-        return AdminAnswer { 200, "text/csv", table() };
+        return AdminResponse { 200, "text/csv", table() };
     }
     if (request.path == "/metrics") {
-        return AdminAnswer { 200, "text/plain; version=0.0.4", metrics() };
+        return AdminResponse { 200, "text/plain; version=0.0.4", metrics() };
     }
     if (request.path == "/-/ready") {
         const bool ready = m_callers.ready && !m_draining;
-        return AdminAnswer { ready ? 200 : 503,
-                             "application/json",
-                             ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n" };
+        return AdminResponse { ready ? 200 : 503,
+                               "application/json",
+                               ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n" };
     }
     if (request.path == "/-/status") {
-        return internal::jsonAnswer(json::serialize(statusJson()) + "\n");
+        return internal::jsonResponse(json::serialize(statusJson()) + "\n");
     }
     if (request.path == "/-/dump") {
-        return internal::jsonAnswer(dump() + "\n");
+        return internal::jsonResponse(dump() + "\n");
     }
     if (request.path == "/-/members") {
         json::array all;
         for (const Member &member : members()) {
             all.push_back(toJson(member));
         }
-        return internal::jsonAnswer(json::serialize(all) + "\n");
+        return internal::jsonResponse(json::serialize(all) + "\n");
     }
     if (request.path == "/-/accounts") {
         m_config.read([&body](const ConfigTable &table) {
-            body = internal::arrayOf(table.accounts());
+            body = internal::jsonArrayOf(table.accounts());
         });
-        return internal::jsonAnswer(body);
+        return internal::jsonResponse(body);
     }
     if (request.path == "/-/services") {
         m_config.read([&body](const ConfigTable &table) {
-            body = internal::arrayOf(table.services());
+            body = internal::jsonArrayOf(table.services());
         });
-        return internal::jsonAnswer(body);
+        return internal::jsonResponse(body);
     }
     if (request.path == "/-/targets") {
         m_config.read([&body](const ConfigTable &table) {
@@ -155,7 +155,7 @@
             }
             body = json::serialize(all) + "\n";
         });
-        return internal::jsonAnswer(body);
+        return internal::jsonResponse(body);
     }
     return std::nullopt;
 }
@@ -187,8 +187,8 @@
              { "draining", m_draining },
              { "configuration", toJsonString(toString(config.phase)) },
              { "detail", config.detail },
-             { "applied", m_carried->applied() },
-             { "carried", m_carried->count() },
+             { "applied", m_assignedServices->applied() },
+             { "carried", m_assignedServices->count() },
              { "newest", config.newest },
              { "behind", config.behind },
              { "reads_log", config.readsLog },
@@ -203,7 +203,7 @@
     json::object dump = statusJson();
     dump["incarnation"] = m_incarnation;
     dump["uptime_seconds"] = toSeconds(Clock::now() - m_started);
-    dump["once_keys"] = m_once.size();
+    dump["once_keys"] = m_atMostOnceState.size();
     dump["control_bytes_sent"] = m_peers->bytesSent();
     dump["control_bytes_received"] = m_peers->bytesReceived();
     const CallerCounters &counters = m_callers.counters;
@@ -220,19 +220,19 @@
 std::string ProxyProcess::metrics() const
 {
     const CallerCounters &counters = m_callers.counters;
-    const auto number = [](std::uint64_t value) {
+    const auto toDouble = [](std::uint64_t value) {
         return static_cast<double>(value);
     };
     MetricsText text;
-    text.single("caller_connections", "gauge", "Open connections of callers.", number(counters.connections));
-    text.single("requests_under_way", "gauge", "Requests under way.", number(counters.requests));
-    text.single("answered_total", "counter", "Answers passed on whole.", number(counters.answered));
-    text.single("refused_total", "counter", "Requests answered with an error.", number(counters.refused));
-    text.single("aborted_total", "counter", "Answers broken off.", number(counters.aborted));
-    text.single("retries_total", "counter", "Attempts after a failed one.", number(counters.retries));
-    text.single("hedges_total", "counter", "Attempts beside a slow one.", number(counters.hedges));
-    text.single("resumes_total", "counter", "Downloads continued elsewhere.", number(counters.resumes));
-    text.single("config_applied", "gauge", "Log offset in force.", number(m_config.applied()));
+    text.single("caller_connections", "gauge", "Open connections of callers.", toDouble(counters.connections));
+    text.single("requests_under_way", "gauge", "Requests under way.", toDouble(counters.requests));
+    text.single("answered_total", "counter", "Answers passed on whole.", toDouble(counters.answered));
+    text.single("refused_total", "counter", "Requests answered with an error.", toDouble(counters.refused));
+    text.single("aborted_total", "counter", "Answers broken off.", toDouble(counters.aborted));
+    text.single("retries_total", "counter", "Attempts after a failed one.", toDouble(counters.retries));
+    text.single("hedges_total", "counter", "Attempts beside a slow one.", toDouble(counters.hedges));
+    text.single("resumes_total", "counter", "Downloads continued elsewhere.", toDouble(counters.resumes));
+    text.single("config_applied", "gauge", "Log offset in force.", toDouble(m_config.applied()));
     m_metrics.write(text);
     return text.text();
 }
--- a/src/app/proxyconfig.cpp
+++ b/src/app/proxyconfig.cpp
@@ -67,7 +67,7 @@
         memberSettings(),
         m_incarnation,
         [this] {
-            return MemberService::OwnState { m_carried->applied(), m_callers.ready && !m_draining };
+            return MemberService::OwnState { m_assignedServices->applied(), m_callers.ready && !m_draining };
         },
         m_events);
     m_evidence = std::make_unique<EvidenceExchange>(m_services, *m_peers, m_events);
@@ -76,38 +76,38 @@
     m_shares->attach();
     m_prober = std::make_unique<Prober>(m_control, m_services, PeerId { m_settings.vm, m_incarnation });
     m_placement.lifetime = m_settings.locateLifetime;
-    m_carried = std::make_unique<CarriedServices>(
+    m_assignedServices = std::make_unique<AssignedServices>(
         m_services,
         m_config,
-        [this](const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant now) {
-            tellCarriers(service, carriers, mine, now);
+        [this](const ServiceName &service, const std::vector<AssignedPeer> &proxies, bool assignedHere, Instant now) {
+            setAssignedPeers(service, proxies, assignedHere, now);
         },
         self(),
         m_placement,
         m_events);
 }
 
-// Evidence and shares are exchanged with the other carriers, also while a service that has moved away is still served;
-// its targets are probed by the carriers alone.
-void ProxyProcess::tellCarriers(const ServiceName &service,
-                                const std::vector<CarrierPeer> &carriers,
-                                bool mine,
-                                Instant now)
+// Evidence and shares are exchanged with the other proxies, also while a service that has moved away is still served;
+// its targets are probed by the proxies alone.
+void ProxyProcess::setAssignedPeers(const ServiceName &service,
+                                    const std::vector<AssignedPeer> &proxies,
+                                    bool assignedHere,
+                                    Instant now)
 {
     const PeerId self { m_settings.vm, m_incarnation };
-    std::vector<CarrierPeer> others;
+    std::vector<AssignedPeer> others;
     std::vector<PeerId> probers;
-    for (const CarrierPeer &peer : carriers) {
+    for (const AssignedPeer &peer : proxies) {
         if (peer.id != self) {
             others.push_back(peer);
         }
-        if (mine) {
+        if (assignedHere) {
             probers.push_back(peer.id);
         }
     }
     m_shares->setPeers(service, others);
     m_evidence->setPeers(service, std::move(others), now);
-    m_prober->setCarriers(service, std::move(probers));
+    m_prober->setAssignedProxies(service, std::move(probers));
 }
 
 MemberServiceSettings ProxyProcess::memberSettings() const
@@ -117,21 +117,21 @@
     return settings;
 }
 
-// Until a process has met another member it would take itself for the only one that carries a service, and use the
-// whole of every limit beside those that do so already. With seeds given it waits for one of them, but not for ever:
-// it may really be the first.
-bool ProxyProcess::knowsFleet() const
+// Until a process has hasOtherMembers another member it would take itself for the only one that carries a service, and
+// use the whole of every limit beside those that do so already. With seeds given it waits for one of them, but not for
+// ever: it may really be the first.
+bool ProxyProcess::hasJoinedFleet() const
 {
-    const bool met = m_members->snapshot()->size() > 1;
-    return met || m_settings.seeds.empty() || Clock::now() - m_started > internal::FirstMemberWait;
+    const bool hasOtherMembers = m_members->snapshot()->size() > 1;
+    return hasOtherMembers || m_settings.seeds.empty() || Clock::now() - m_started > internal::FirstMemberWait;
 }
 
 // Called with each tick: what ConfigSync and the members have brought since the last one is given to the services.
-void ProxyProcess::followConfiguration()
+void ProxyProcess::applyConfiguration()
 {
     const Offset applied = m_config.applied();
-    const bool ready = m_configSync->status().ready() && knowsFleet();
-    m_carried->update(m_members->snapshot(), applied, Clock::now());
+    const bool ready = m_configSync->status().ready() && hasJoinedFleet();
+    m_assignedServices->update(m_members->snapshot(), applied, Clock::now());
     if (ready != m_callers.ready) {
         m_callers.ready = ready;
         if (ready) {
@@ -178,8 +178,8 @@
     if (!known) {
         return failure(ErrorKind::UnknownService, "no such service for this account");
     }
-    const std::vector<Member> carrying = m_carried->carriersOf(service);
-    const LocateAnswer located = locateAnswer(carrying, FailureDomain(), m_placement, ++m_locateSeed);
+    const std::vector<Member> assigned = m_assignedServices->assignedProxiesOf(service);
+    const LocateResponse located = locateResponse(assigned, FailureDomain(), m_placement, ++m_locateSeed);
     boost::json::array addresses;
     for (const LocateEntry &entry : located.entries) {
         boost::json::object address = toJson(entry.caller);
@@ -187,10 +187,10 @@
         address["weight"] = entry.weight;
         addresses.push_back(std::move(address));
     }
-    const boost::json::object answer { { "service", service.value() },
-                                       { "lifetime_ms", located.lifetime.count() },
-                                       { "addresses", std::move(addresses) } };
-    return boost::json::serialize(answer) + "\n";
+    const boost::json::object response { { "service", service.value() },
+                                         { "lifetime_ms", located.lifetime.count() },
+                                         { "addresses", std::move(addresses) } };
+    return boost::json::serialize(response) + "\n";
 }
 
 } // namespace mulberryplank
--- a/src/app/proxydrain.cpp
+++ b/src/app/proxydrain.cpp
@@ -14,7 +14,7 @@
 namespace internal
 {
 
-constexpr Duration DrainCheck = Millis(20);
+constexpr Duration DrainPollInterval = Millis(20);
 
 } // namespace internal
 
@@ -22,9 +22,10 @@
 {
     if (m_draining) {
         // The second signal: whoever sent it doesn't want to wait any longer.
-        const std::uint64_t cut = m_callers.counters.requests;
-        m_events(Event::DrainFinished, { { "vm", m_settings.vm.value() }, { "in_flight", cut }, { "cut", cut } });
-        m_exitCode = cut == 0 ? 0 : 1;
+        const std::uint64_t aborted = m_callers.counters.requests;
+        m_events(Event::DrainFinished,
+                 { { "vm", m_settings.vm.value() }, { "in_flight", aborted }, { "cut", aborted } });
+        m_exitCode = aborted == 0 ? 0 : 1;
         m_control.stop();
         return;
     }
@@ -48,12 +49,12 @@
     m_callers.closing = true;
     m_callerServer->stopAccepting();
     while (m_callers.counters.requests > 0 && Clock::now() < deadline) {
-        timer.expires_after(internal::DrainCheck);
+        timer.expires_after(internal::DrainPollInterval);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    const std::uint64_t cut = m_callers.counters.requests;
-    m_events(Event::DrainFinished, { { "vm", m_settings.vm.value() }, { "in_flight", cut }, { "cut", cut } });
-    m_exitCode = cut == 0 ? 0 : 1;
+    const std::uint64_t aborted = m_callers.counters.requests;
+    m_events(Event::DrainFinished, { { "vm", m_settings.vm.value() }, { "in_flight", aborted }, { "cut", aborted } });
+    m_exitCode = aborted == 0 ? 0 : 1;
     m_shares->leave(Clock::now());
     m_control.stop();
 }
--- a/src/app/proxyprocess.cpp
+++ b/src/app/proxyprocess.cpp
@@ -28,8 +28,8 @@
 // themselves first.
 Duration vmListInterval(std::size_t members)
 {
-    const std::size_t turns = std::max<std::size_t>(1, (members + VmListReaders - 1) / VmListReaders);
-    return turns * VmListInterval;
+    const std::size_t intervals = std::max<std::size_t>(1, (members + VmListReaders - 1) / VmListReaders);
+    return intervals * VmListInterval;
 }
 
 // A restarted process must never be taken for the one before it, so this comes from the system's randomness.
@@ -46,19 +46,19 @@
     , m_events(std::move(events))
     , m_incarnation(internal::randomIncarnation())
     , m_started(Clock::now())
-    , m_once(m_incarnation,
-             m_started,
-             OnceSettings {},
-             [this](Incarnation incarnation) {
-                 return m_callers.memberAddress(incarnation).has_value();
-             })
+    , m_atMostOnceState(m_incarnation,
+                        m_started,
+                        AtMostOnceSettings {},
+                        [this](Incarnation incarnation) {
+                            return m_callers.memberAddress(incarnation).has_value();
+                        })
     , m_adminServer(
           m_control,
           settings.admin,
           std::move(keys.operators),
           { "/-/ready" },
           [this](AdminRequest request) {
-              return answerOperator(std::move(request));
+              return handleOperatorRequest(std::move(request));
           },
           m_events)
     , m_log(m_control, settings.log, internal::LogTimeout)
@@ -83,7 +83,7 @@
 {
     m_callers.incarnation = m_incarnation;
     m_callers.events = m_events;
-    m_callers.once = &m_once;
+    m_callers.atMostOnceState = &m_atMostOnceState;
     m_callers.accountDigest = [this](const AccountName &account) {
         return m_config.accountDigest(account);
     };
@@ -101,8 +101,8 @@
         }
         return std::nullopt;
     };
-    m_callers.noteLatency = [this](Duration total, Duration atTarget) {
-        m_metrics.note(total, atTarget);
+    m_callers.noteLatency = [this](Duration total, Duration timeAtTarget) {
+        m_metrics.note(total, timeAtTarget);
     };
 }
 
@@ -133,7 +133,7 @@
         timer.expires_after(internal::TickInterval);
         co_await timer.async_wait(asio::use_awaitable);
         const Instant now = Clock::now();
-        followConfiguration();
+        applyConfiguration();
         m_evidence->tick(now);
         m_shares->tick(now);
         m_prober->tick(now);
@@ -143,7 +143,7 @@
     }
 }
 
-asio::awaitable<void> ProxyProcess::followVmList()
+asio::awaitable<void> ProxyProcess::pollVmList()
 {
     Timer timer(m_control);
     while (true) {
@@ -205,7 +205,7 @@
     loadLastKnown();
     m_configSync->start();
     asio::co_spawn(m_control, tickForever(), asio::detached);
-    asio::co_spawn(m_control, followVmList(), asio::detached);
+    asio::co_spawn(m_control, pollVmList(), asio::detached);
     m_control.run();
     stopWorkers();
     return m_exitCode;
--- a/src/app/proxyprocess.h
+++ b/src/app/proxyprocess.h
@@ -9,7 +9,7 @@
 #include <boost/asio/signal_set.hpp>
 #include <boost/json/object.hpp>
 
-#include "carriedservices.h"
+#include "assignedservices.h"
 #include "mulberryplank/app/eventlog.h"
 #include "mulberryplank/app/settings.h"
 #include "mulberryplank/net/adminserver.h"
@@ -55,16 +55,19 @@
     void startWorkers();
     void stopWorkers();
     boost::asio::awaitable<void> tickForever();
-    boost::asio::awaitable<void> followVmList();
+    boost::asio::awaitable<void> pollVmList();
     void awaitSignal();
 
     // proxyconfig.cpp: the configuration and what follows from it
     void setUpConfiguration(std::vector<std::string> fleetKeys);
     void loadLastKnown();
-    bool knowsFleet() const;
-    void followConfiguration();
+    bool hasJoinedFleet() const;
+    void applyConfiguration();
     void setUpFleet();
-    void tellCarriers(const ServiceName &service, const std::vector<CarrierPeer> &carriers, bool mine, Instant now);
+    void setAssignedPeers(const ServiceName &service,
+                          const std::vector<AssignedPeer> &proxies,
+                          bool assignedHere,
+                          Instant now);
     MemberServiceSettings memberSettings() const;
     std::optional<ServiceAccess> findService(const ServiceName &name) const;
     Result<std::string> locate(const ServiceName &service, const AccountName &account) const;
@@ -72,9 +75,9 @@
     Member self() const;
 
     // proxyadmin.cpp: what operators ask
-    boost::asio::awaitable<AdminAnswer> answerOperator(AdminRequest request);
-    boost::asio::awaitable<AdminAnswer> answerEdit(AdminRequest request);
-    std::optional<AdminAnswer> answerQuery(const AdminRequest &request) const;
+    boost::asio::awaitable<AdminResponse> handleOperatorRequest(AdminRequest request);
+    boost::asio::awaitable<AdminResponse> handleEdit(AdminRequest request);
+    std::optional<AdminResponse> handleQuery(const AdminRequest &request) const;
     std::string table() const;
     std::string dump() const;
     boost::json::object statusJson() const;
@@ -93,7 +96,7 @@
     ConfigState m_config;
     ServiceRegistry m_services;
     RequestMetrics m_metrics;
-    OnceState m_once;
+    OnceState m_atMostOnceState;
     CallerContext m_callers;
     std::vector<std::unique_ptr<Worker>> m_workers;
     std::vector<std::thread> m_threads;
@@ -109,7 +112,7 @@
     std::unique_ptr<ShareExchange> m_shares;
     std::unique_ptr<Prober> m_prober;
     PlacementSettings m_placement;
-    std::unique_ptr<CarriedServices> m_carried;
+    std::unique_ptr<AssignedServices> m_assignedServices;
     mutable std::atomic<std::uint64_t> m_locateSeed { 0 };
     bool m_vmListReachable = true;
     bool m_draining = false;
--- a/src/app/requeststory.cpp
+++ b/src/app/requesttrace.cpp
@@ -1,4 +1,4 @@
-#include "mulberryplank/app/requeststory.h"
+#include "mulberryplank/app/requesttrace.h"
 
 #include <algorithm>
 #include <charconv>
@@ -16,7 +16,7 @@
 namespace
 {
 
-double numberOf(const std::string &text)
+double toNumber(const std::string &text)
 {
     double value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
@@ -24,7 +24,7 @@
 }
 
 // "3 services" and "1 service".
-std::string counted(const std::string &count, const std::string &noun)
+std::string withCount(const std::string &count, const std::string &noun)
 {
     return count + " " + noun + (count == "1" ? "" : "s");
 }
@@ -33,25 +33,25 @@
 {
     std::ostringstream text;
     text.precision(3);
-    text << numberOf(millis) / 1000 << " s";
+    text << toNumber(millis) / 1000 << " s";
     return text.str();
 }
 
-std::string beliefText(const LoggedBeliefs &beliefs)
+std::string stateText(const LoggedState &state)
 {
     std::ostringstream text;
-    if (beliefs.routes) {
-        text << "configuration " << beliefs.routes->field("version") << " since " << beliefs.routes->time;
+    if (state.routes) {
+        text << "configuration " << state.routes->field("version") << " since " << state.routes->time;
     } else {
         text << "no configuration told of";
     }
-    if (beliefs.targetList) {
-        text << "; " << counted(beliefs.targetList->field("targets"), "target") << " ("
-             << beliefs.targetList->field("draining") << " draining) by the " << beliefs.targetList->field("source")
-             << " since " << beliefs.targetList->time;
+    if (state.targetList) {
+        text << "; " << withCount(state.targetList->field("targets"), "target") << " ("
+             << state.targetList->field("draining") << " draining) by the " << state.targetList->field("source")
+             << " since " << state.targetList->time;
     }
-    if (beliefs.store && beliefs.store->is(Event::PlatformDown)) {
-        text << "; the store does not answer since " << beliefs.store->time;
+    if (state.store && state.store->is(Event::PlatformDown)) {
+        text << "; the store does not answer since " << state.store->time;
     }
     return text.str();
 }
@@ -89,7 +89,7 @@
 std::string loadAgeText(const LogLine &line)
 {
     const std::string age = line.field("load_age_ms");
-    return numberOf(age) < 0 ? "it had told none" : "told " + seconds(age) + " before";
+    return toNumber(age) < 0 ? "it had told none" : "told " + seconds(age) + " before";
 }
 
 std::string attemptText(const LogLine &line)
@@ -97,8 +97,8 @@
     std::ostringstream text;
     text << "attempt " << line.field("attempt") << " at " << line.field("target") << " (" << line.field("service")
          << ") failed after " << line.field("duration_ms") << " ms: it " << attemptCause(line) << "; chosen with risk "
-         << numberOf(line.field("risk")) << " and load " << numberOf(line.field("load")) << " (" << loadAgeText(line)
-         << "); left: " << line.field("left_ms") << " ms, " << numberOf(line.field("budget"))
+         << toNumber(line.field("risk")) << " and load " << toNumber(line.field("load")) << " (" << loadAgeText(line)
+         << "); left: " << line.field("left_ms") << " ms, " << toNumber(line.field("budget"))
          << " further attempts in the budget";
     return text.str();
 }
@@ -110,7 +110,7 @@
     }
     if (line.is(Event::RequestEnded)) {
         const std::string error = line.field("error");
-        return "ended after " + counted(line.field("attempts"), "attempt") + " and " + line.field("duration_ms")
+        return "ended after " + withCount(line.field("attempts"), "attempt") + " and " + line.field("duration_ms")
                + " ms: " + line.field("outcome") + (error.empty() ? "" : " (" + error + ")");
     }
     if (line.is(Event::RequestRefused)) {
@@ -126,16 +126,16 @@
 }
 
 // Why there was no further attempt after the last one failed.
-std::string whyNoMore(const LogLine &failed, const LogLine *ended)
+std::string noRetryReason(const LogLine &failed, const LogLine *ended)
 {
     const bool sent = failed.field("sent") == "1" && failed.field("result") != "shed";
     if (ended != nullptr && ended->field("kind") == "once" && sent) {
         return "it may run only once and could have run, so it was not sent again";
     }
-    if (numberOf(failed.field("left_ms")) <= 0) {
+    if (toNumber(failed.field("left_ms")) <= 0) {
         return "its time was up";
     }
-    if (numberOf(failed.field("budget")) < 1) {
+    if (toNumber(failed.field("budget")) < 1) {
         return "the budget for further attempts was used up";
     }
     return "no further attempt was allowed by its route, or no other target took work";
@@ -162,18 +162,18 @@
 
 } // namespace internal
 
-RequestStory::RequestStory(std::string request)
+RequestTrace::RequestTrace(std::string request)
     : m_request(std::move(request))
 {
 }
 
-void RequestStory::noteProcess(Source &source, const LogLine &line)
+void RequestTrace::recordProcessState(Source &source, const LogLine &line)
 {
     if (line.is(Event::ProcessStarted)) {
         source.gateway = line.field("vm");
-        source.beliefs = {};
+        source.state = {};
         if (source.running) {
-            source.unfinished.push_back(line.time);
+            source.uncleanRestarts.push_back(line.time);
         }
         source.running = true;
     } else if (line.is(Event::DrainFinished)) {
@@ -181,53 +181,53 @@
     }
 }
 
-void RequestStory::noteBelief(Source &source, const LogLine &line)
+void RequestTrace::recordState(Source &source, const LogLine &line)
 {
-    LoggedBeliefs &beliefs = source.beliefs;
+    LoggedState &state = source.state;
     if (line.is(Event::RoutesInForce)) {
-        beliefs.routes = line;
+        state.routes = line;
     } else if (line.is(Event::TargetListChanged)) {
-        beliefs.targetList = line;
+        state.targetList = line;
     } else if (line.is(Event::PlatformDown) || line.is(Event::PlatformBack)) {
-        beliefs.store = line;
+        state.store = line;
     } else if (line.is(Event::TargetSuspected) || line.is(Event::TargetReturned)) {
-        beliefs.suspicions[line.field("target")] = line;
+        state.suspicions[line.field("target")] = line;
     }
 }
 
-void RequestStory::read(const std::string &source, std::string_view text)
+void RequestTrace::read(const std::string &source, std::string_view text)
 {
     Source &log = m_sources[source];
     if (log.gateway.empty()) {
         log.gateway = source;
     }
-    if (text.starts_with(LinesDroppedMark)) {
+    if (text.starts_with(LinesDroppedPrefix)) {
         log.linesDropped +=
-            static_cast<std::uint64_t>(internal::numberOf(std::string(text.substr(LinesDroppedMark.size()))));
+            static_cast<std::uint64_t>(internal::toNumber(std::string(text.substr(LinesDroppedPrefix.size()))));
         return;
     }
     const std::optional<LogLine> line = parseLogLine(text);
     if (!line) {
         return;
     }
-    noteProcess(log, *line);
-    noteBelief(log, *line);
+    recordProcessState(log, *line);
+    recordState(log, *line);
     if (line->is(Event::AttemptFailed)) {
         TargetFailures &failures = m_failures[line->field("target")];
         ++failures.count;
         failures.gateways.insert(log.gateway);
     }
     if (line->field("request") == m_request) {
-        m_steps.push_back({ log.gateway, *line, log.beliefs });
+        m_steps.push_back({ log.gateway, *line, log.state });
     }
 }
 
-bool RequestStory::found() const
+bool RequestTrace::found() const
 {
     return !m_steps.empty();
 }
 
-std::vector<RequestStory::Step> RequestStory::inOrder() const
+std::vector<RequestTrace::Step> RequestTrace::sortedSteps() const
 {
     std::vector<Step> steps = m_steps;
     std::stable_sort(steps.begin(), steps.end(), [](const Step &one, const Step &other) {
@@ -236,15 +236,15 @@
     return steps;
 }
 
-// A request leaves no line when its first attempt was answered, when its gateway was killed, or when lines were
+// A request leaves no line when its first attempt was responded, when its gateway was killed, or when lines were
 // dropped.
-std::string RequestStory::notFoundText() const
+std::string RequestTrace::notFoundText() const
 {
     std::ostringstream text;
     text << "request " << m_request << ": no line tells of it\n"
          << "Either its first attempt was answered, or it never came to these gateways, or:\n";
     for (const auto &[name, source] : m_sources) {
-        for (const std::string &time : source.unfinished) {
+        for (const std::string &time : source.uncleanRestarts) {
             text << "  " << source.gateway << ": a process ended without a word before the start at " << time << '\n';
         }
         if (source.linesDropped > 0) {
@@ -254,18 +254,18 @@
     return text.str();
 }
 
-std::string RequestStory::targetText(const Step &failed) const
+std::string RequestTrace::targetText(const Step &failed) const
 {
     const std::string target = failed.line.field("target");
     std::ostringstream text;
     const auto failures = m_failures.find(target);
     if (failures != m_failures.end()) {
         text << "target " << target << ": "
-             << internal::counted(std::to_string(failures->second.count), "failed attempt") << " in these logs, at "
-             << internal::counted(std::to_string(failures->second.gateways.size()), "gateway");
+             << internal::withCount(std::to_string(failures->second.count), "failed attempt") << " in these logs, at "
+             << internal::withCount(std::to_string(failures->second.gateways.size()), "gateway");
     }
-    const auto suspicion = failed.beliefs.suspicions.find(target);
-    if (suspicion != failed.beliefs.suspicions.end()) {
+    const auto suspicion = failed.state.suspicions.find(target);
+    if (suspicion != failed.state.suspicions.end()) {
         const bool suspected = suspicion->second.is(Event::TargetSuspected);
         text << (suspected ? "; suspected since " : "; trusted again since ") << suspicion->second.time;
     } else {
@@ -274,26 +274,26 @@
     return text.str() + "\n";
 }
 
-std::string RequestStory::text() const
+std::string RequestTrace::text() const
 {
     if (!found()) {
         return notFoundText();
     }
-    const std::vector<Step> steps = inOrder();
+    const std::vector<Step> steps = sortedSteps();
     std::ostringstream text;
     text << "request " << m_request << '\n';
     std::string gateway;
     for (const Step &step : steps) {
         if (step.gateway != gateway) {
             gateway = step.gateway;
-            text << step.line.time << "  " << gateway << "  went by " << internal::beliefText(step.beliefs) << '\n';
+            text << step.line.time << "  " << gateway << "  went by " << internal::stateText(step.state) << '\n';
         }
         text << step.line.time << "  " << gateway << "  " << internal::stepText(step.line) << '\n';
     }
     return text.str() + causeText(steps);
 }
 
-std::string RequestStory::causeText(const std::vector<Step> &steps) const
+std::string RequestTrace::causeText(const std::vector<Step> &steps) const
 {
     const Step *failed = nullptr;
     const LogLine *ended = nullptr;
@@ -303,16 +303,16 @@
         ended = step.line.is(Event::RequestEnded) ? &step.line : ended;
         refused = step.line.is(Event::RequestRefused) ? &step.line : refused;
     }
-    const bool answered =
+    const bool responded =
         ended != nullptr && ended->field("outcome") == toString(Outcome::Answered) && ended->field("error").empty();
     std::string cause;
-    if (answered) {
+    if (responded) {
         cause = "none; " + ended->field("target") + " answered in the end";
     } else if (ended != nullptr && ended->field("error") == toString(ErrorKind::Cancelled)) {
         cause = "the caller left before there was an answer";
     } else if (failed != nullptr) {
         cause = failed->line.field("target") + " " + internal::attemptCause(failed->line) + "; "
-                + internal::whyNoMore(failed->line, ended);
+                + internal::noRetryReason(failed->line, ended);
     } else if (refused != nullptr) {
         cause = internal::refusalCause(*refused);
     } else {
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -23,31 +23,31 @@
 namespace
 {
 
-constexpr std::size_t MostNameLength = 64;
+constexpr std::size_t MaxNameBytes = 64;
 
 } // namespace
 
 bool isName(const std::string &value)
 {
-    const bool plain = std::all_of(value.begin(), value.end(), [](unsigned char letter) {
+    const bool validCharacters = std::all_of(value.begin(), value.end(), [](unsigned char letter) {
         return std::isalnum(letter) != 0 || letter == '.' || letter == '-' || letter == '_';
     });
-    return plain && !value.empty() && value.size() <= MostNameLength;
+    return validCharacters && !value.empty() && value.size() <= MaxNameBytes;
 }
 
-bool storeEndpoint(Endpoint &place, const std::string &value)
+bool storeEndpoint(Endpoint &destination, const std::string &value)
 {
     const std::optional<Endpoint> endpoint = parseEndpoint(value);
-    place = endpoint.value_or(place);
+    destination = endpoint.value_or(destination);
     return endpoint.has_value();
 }
 
 namespace
 {
 
-constexpr std::uint64_t MostThreads = 64;
-constexpr std::uint64_t LeastMillis = 100;
-constexpr std::uint64_t MostMillis = 3'600'000;
+constexpr std::uint64_t MaxThreads = 64;
+constexpr std::uint64_t MinMillis = 100;
+constexpr std::uint64_t MaxMillis = 3'600'000;
 
 constexpr const char *MillisAllowed = "100 to 3600000 (milliseconds)";
 constexpr const char *KeyFileAllowed = "readable file with one key a line, at least 32 characters each, no blanks";
@@ -55,7 +55,7 @@
 
 using ProxyRow = SettingRow<Settings>;
 
-bool storeEndpoints(std::vector<Endpoint> &place, const std::string &value)
+bool storeEndpoints(std::vector<Endpoint> &destination, const std::string &value)
 {
     std::vector<Endpoint> endpoints;
     std::istringstream parts(value);
@@ -67,28 +67,28 @@
         }
         endpoints.push_back(*endpoint);
     }
-    place = endpoints;
+    destination = endpoints;
     return value.empty() || value.back() != ',';
 }
 
-template<Millis Settings::*Place>
+template<Millis Settings::*Field>
 bool storeMillisAt(Settings &settings, const std::string &value)
 {
-    const std::optional<std::uint64_t> number = parseNumber(value, LeastMillis, MostMillis);
-    settings.*Place = number ? Millis(*number) : settings.*Place;
+    const std::optional<std::uint64_t> number = parseNumber(value, MinMillis, MaxMillis);
+    settings.*Field = number ? Millis(*number) : settings.*Field;
     return number.has_value();
 }
 
-template<std::string Settings::*Place>
+template<std::string Settings::*Field>
 bool storeKeyFileAt(Settings &settings, const std::string &value)
 {
-    settings.*Place = value;
+    settings.*Field = value;
     return readKeyFile(value).has_value();
 }
 
-bool storeLastKnownFile(std::string &place, const std::string &value)
+bool storeLastKnownFile(std::string &destination, const std::string &value)
 {
-    place = value;
+    destination = value;
     return value.empty() || std::ifstream(value).good();
 }
 
@@ -130,7 +130,7 @@
           storeEndpointAt<&Settings::vmList> },
         { { "threads", "N", "2", "1 to 64", "Threads that carry callers' requests.", {} },
           [](Settings &settings, const std::string &value) {
-              const std::optional<std::uint64_t> number = parseNumber(value, 1, MostThreads);
+              const std::optional<std::uint64_t> number = parseNumber(value, 1, MaxThreads);
               settings.threads = number.value_or(settings.threads);
               return number.has_value();
           } },
@@ -174,7 +174,7 @@
 
 // Names the first pair of own addresses that are the same, or nothing. Peers use TCP and UDP, so no address may be
 // shared with theirs.
-std::optional<std::string> sharedAddress(const Settings &settings)
+std::optional<std::string> findSharedAddress(const Settings &settings)
 {
     if (settings.caller == settings.admin) {
         return "--listen and --admin: both are '" + toString(settings.caller) + "'; allowed: different addresses";
@@ -190,7 +190,7 @@
 
 // Callers keep an address for the lifetime of locate's answer. A proxy that closed earlier would refuse callers who
 // did nothing wrong: they would see refused connections on each deployment.
-std::optional<std::string> drainTooShort(const Settings &settings)
+std::optional<std::string> checkDrainLimit(const Settings &settings)
 {
     if (settings.drainLimit > settings.locateLifetime) {
         return std::nullopt;
@@ -202,8 +202,8 @@
 
 std::string crossCheck(const Settings &settings)
 {
-    const std::string address = sharedAddress(settings).value_or("");
-    const std::string drain = drainTooShort(settings).value_or("");
+    const std::string address = findSharedAddress(settings).value_or("");
+    const std::string drain = checkDrainLimit(settings).value_or("");
     return address + (address.empty() || drain.empty() ? "" : "\n") + drain;
 }
 
@@ -243,7 +243,7 @@
 {
     std::set<std::string> known;
     for (const OptionInfo &option : options) {
-        known.insert(variableOf(option));
+        known.insert(variableName(option));
     }
     std::vector<std::string> unknown;
     for (const std::string &variable : variables) {
--- a/src/app/settingsfile.cpp
+++ b/src/app/settingsfile.cpp
@@ -6,7 +6,7 @@
 namespace mulberryplank
 {
 
-Result<SettingsFile> parseSettingsFile(std::string_view text, const std::string &place)
+Result<SettingsFile> parseSettingsFile(std::string_view text, const std::string &fileName)
 {
     SettingsFile settings;
     std::size_t number = 0;
@@ -22,7 +22,7 @@
             continue;
         }
         const std::size_t equals = line.find('=');
-        const std::string where = place + ", line " + std::to_string(number) + ": ";
+        const std::string where = fileName + ", line " + std::to_string(number) + ": ";
         if (equals == 0 || equals == std::string_view::npos) {
             return failure(ErrorKind::BadConfiguration, where + "allowed: NAME=VALUE");
         }
--- a/src/app/settingstest.cpp
+++ b/src/app/settingstest.cpp
@@ -16,13 +16,13 @@
 {
 
 // A command line and an environment, with the key files that a proxy's settings need.
-class Surroundings
+class SettingsInput
 {
 public:
     std::map<std::string, std::string> flags;
     std::map<std::string, std::string> variables;
 
-    Surroundings()
+    SettingsInput()
         : m_keyFile(std::filesystem::temp_directory_path() / "mulberryplank-settingstest.key")
     {
         std::ofstream(m_keyFile) << "# fleet\n0123456789abcdef0123456789abcdef\n";
@@ -37,27 +37,27 @@
                   { "operator-key-file", m_keyFile.string() } };
     }
 
-    ~Surroundings()
+    ~SettingsInput()
     {
         std::filesystem::remove(m_keyFile);
     }
 
-    Surroundings(const Surroundings &) = delete;
-    Surroundings &operator=(const Surroundings &) = delete;
+    SettingsInput(const SettingsInput &) = delete;
+    SettingsInput &operator=(const SettingsInput &) = delete;
 
     Result<CheckedSettings> check() const
     {
-        std::vector<std::string> words { "proxy" };
+        std::vector<std::string> arguments { "proxy" };
         for (const auto &[name, value] : flags) {
-            words.push_back("--" + name);
-            words.push_back(value);
+            arguments.push_back("--" + name);
+            arguments.push_back(value);
         }
         std::vector<char *> argv;
-        for (std::string &word : words) {
-            argv.push_back(word.data());
+        for (std::string &argument : arguments) {
+            argv.push_back(argument.data());
         }
         argv.push_back(nullptr);
-        return checkSettings(static_cast<int>(words.size()), argv.data(), [this](const std::string &variable) {
+        return checkSettings(static_cast<int>(arguments.size()), argv.data(), [this](const std::string &variable) {
             const auto found = variables.find(variable);
             return found == variables.end() ? std::nullopt : std::optional(found->second);
         });
@@ -73,7 +73,7 @@
     std::filesystem::path m_keyFile;
 };
 
-const std::map<std::string, std::string> &badValues()
+const std::map<std::string, std::string> &invalidValues()
 {
     static const std::map<std::string, std::string> Values {
         { "vm", "two words" },
@@ -96,16 +96,16 @@
     return Values;
 }
 
-const OptionInfo &optionOf(const std::string &name)
+const OptionInfo &findOption(const std::string &name)
 {
     return *std::find_if(settingOptions().begin(), settingOptions().end(), [&](const OptionInfo &option) {
         return option.name == name;
     });
 }
 
-std::string expectedRefusal(const std::string &source, const std::string &name)
+std::string expectedError(const std::string &source, const std::string &name)
 {
-    return source + ": '" + badValues().at(name) + "' is not allowed; allowed: " + optionOf(name).allowed;
+    return source + ": '" + invalidValues().at(name) + "' is not allowed; allowed: " + findOption(name).allowed;
 }
 
 } // namespace
@@ -115,14 +115,14 @@
 TEST(Settings, flagWinsOverEnvironmentWhichWinsOverDefault)
 {
     CHECK_TRUE(rc::check("the nearest source given decides", [](bool flagGiven, bool variableGiven) {
-        Surroundings surroundings;
+        SettingsInput input;
         if (flagGiven) {
-            surroundings.flags["threads"] = "11";
+            input.flags["threads"] = "11";
         }
         if (variableGiven) {
-            surroundings.variables["MULBERRYPLANK_THREADS"] = "7";
+            input.variables["MULBERRYPLANK_THREADS"] = "7";
         }
-        const Result<CheckedSettings> checked = surroundings.check();
+        const Result<CheckedSettings> checked = input.check();
         RC_ASSERT(checked.has_value());
         const std::size_t expected = flagGiven ? 11 : variableGiven ? 7 : 2;
         const Origin origin = flagGiven ? Origin::Flag : variableGiven ? Origin::Environment : Origin::Default;
@@ -136,59 +136,59 @@
     }));
 }
 
-TEST(Settings, everyBadValueIsRefusedWithFlagOrVariableAndValueAndWhatIsAllowed)
+TEST(Settings, invalidValueIsReportedWithItsSourceAndAllowedValues)
 {
-    CHECK_EQUAL(settingOptions().size(), badValues().size());
+    CHECK_EQUAL(settingOptions().size(), invalidValues().size());
     for (const OptionInfo &option : settingOptions()) {
-        Surroundings byFlag;
-        byFlag.flags[option.name] = badValues().at(option.name);
-        STRCMP_EQUAL(expectedRefusal(flagOf(option), option.name).c_str(), byFlag.problems().c_str());
+        SettingsInput byFlag;
+        byFlag.flags[option.name] = invalidValues().at(option.name);
+        STRCMP_EQUAL(expectedError(flagName(option), option.name).c_str(), byFlag.problems().c_str());
 
-        Surroundings byVariable;
+        SettingsInput byVariable;
         byVariable.flags.erase(option.name);
-        byVariable.variables[variableOf(option)] = badValues().at(option.name);
-        STRCMP_EQUAL(expectedRefusal(variableOf(option), option.name).c_str(), byVariable.problems().c_str());
+        byVariable.variables[variableName(option)] = invalidValues().at(option.name);
+        STRCMP_EQUAL(expectedError(variableName(option), option.name).c_str(), byVariable.problems().c_str());
     }
 }
 
-TEST(Settings, everythingWrongIsToldAtOnce)
+TEST(Settings, allInvalidValuesAreReportedTogether)
 {
-    Surroundings surroundings;
-    surroundings.flags = badValues();
-    const std::string problems = surroundings.problems();
-    for (const auto &[name, value] : badValues()) {
-        CHECK_TEXT(problems.find(expectedRefusal("--" + name, name)) != std::string::npos, name.c_str());
+    SettingsInput input;
+    input.flags = invalidValues();
+    const std::string problems = input.problems();
+    for (const auto &[name, value] : invalidValues()) {
+        CHECK_TEXT(problems.find(expectedError("--" + name, name)) != std::string::npos, name.c_str());
     }
 }
 
 TEST(Settings, settingWithoutDefaultMustBeGiven)
 {
     for (const OptionInfo &option : settingOptions()) {
-        Surroundings surroundings;
-        surroundings.flags.erase(option.name);
-        const bool missing = surroundings.problems().find(flagOf(option) + " (or " + variableOf(option)) == 0;
-        CHECK_EQUAL_TEXT(!option.fallback.has_value(), missing, option.name.c_str());
+        SettingsInput input;
+        input.flags.erase(option.name);
+        const bool missing = input.problems().find(flagName(option) + " (or " + variableName(option)) == 0;
+        CHECK_EQUAL_TEXT(!option.defaultValue.has_value(), missing, option.name.c_str());
     }
 }
 
 // Failure: a proxy serves callers on the address on which peers or operators expect another protocol.
 TEST(Settings, ownAddressesMustDiffer)
 {
-    Surroundings surroundings;
-    surroundings.flags["admin"] = surroundings.flags["listen"];
-    CHECK_TRUE(surroundings.problems().starts_with("--listen and --admin: both are '127.0.0.1:8080'"));
+    SettingsInput input;
+    input.flags["admin"] = input.flags["listen"];
+    CHECK_TRUE(input.problems().starts_with("--listen and --admin: both are '127.0.0.1:8080'"));
 }
 
 // Failure: callers see refused connections each time a proxy is replaced.
-TEST(Settings, drainMustOutlastWhatCallersWereTold)
+TEST(Settings, drainLimitMustExceedLocateLifetime)
 {
-    Surroundings surroundings;
-    surroundings.flags["drain-limit-ms"] = "5000";
-    surroundings.flags["locate-lifetime-ms"] = "5000";
-    CHECK_TRUE(surroundings.problems().starts_with("--drain-limit-ms: '5000' is not allowed"));
+    SettingsInput input;
+    input.flags["drain-limit-ms"] = "5000";
+    input.flags["locate-lifetime-ms"] = "5000";
+    CHECK_TRUE(input.problems().starts_with("--drain-limit-ms: '5000' is not allowed"));
 }
 
-TEST(Settings, variableThatIsNoSettingIsFound)
+TEST(Settings, unknownVariableIsDetected)
 {
     const std::vector<std::string> unknown =
         unknownVariables(settingOptions(), { "PATH", "MULBERRYPLANK_THREADS", "MULBERRYPLANK_THREDS" });
@@ -196,16 +196,16 @@
     STRCMP_EQUAL("MULBERRYPLANK_THREDS", unknown.front().c_str());
 }
 
-TEST(Settings, pageForOperatorsListsEverySettingAsItIs)
+TEST(Settings, operatorsPageListsEverySetting)
 {
     std::ifstream file(MULBERRYPLANK_SOURCE_DIR "/docs/OPERATORS.md");
     std::ostringstream text;
     text << file.rdbuf();
     for (const OptionInfo &option : settingOptions()) {
-        const std::string fallback =
-            option.fallback ? (option.fallback->empty() ? "none" : *option.fallback) : "must be given";
-        const std::string row = "| `" + flagOf(option) + " " + option.placeholder + "` | `" + variableOf(option)
-                                + "` | " + fallback + " | " + option.allowed + " | " + option.help + " |\n";
+        const std::string defaultValue =
+            option.defaultValue ? (option.defaultValue->empty() ? "none" : *option.defaultValue) : "must be given";
+        const std::string row = "| `" + flagName(option) + " " + option.placeholder + "` | `" + variableName(option)
+                                + "` | " + defaultValue + " | " + option.allowed + " | " + option.help + " |\n";
         CHECK_TEXT(text.str().find(row) != std::string::npos, row.c_str());
     }
 }
--- a/src/app/settingstores.h
+++ b/src/app/settingstores.h
@@ -23,20 +23,20 @@
 // Returns true if `value` may be a VM's or a failure domain's name.
 bool isName(const std::string &value);
 
-// Stores `value` in `place`, or returns false and leaves it as it was.
-bool storeEndpoint(Endpoint &place, const std::string &value);
+// Stores `value` in `destination`, or returns false and leaves it as it was.
+bool storeEndpoint(Endpoint &destination, const std::string &value);
 
 // How the tables' rows store a value in one member of the settings.
-template<auto Place, typename Settings>
+template<auto Field, typename Settings>
 bool storeEndpointAt(Settings &settings, const std::string &value)
 {
-    return storeEndpoint(settings.*Place, value);
+    return storeEndpoint(settings.*Field, value);
 }
 
-template<auto Place, typename Settings>
+template<auto Field, typename Settings>
 bool storeNameAt(Settings &settings, const std::string &value)
 {
-    settings.*Place = std::decay_t<decltype(settings.*Place)>(value);
+    settings.*Field = std::decay_t<decltype(settings.*Field)>(value);
     return isName(value);
 }
 
--- a/src/app/statusview.cpp
+++ b/src/app/statusview.cpp
@@ -20,29 +20,29 @@
 namespace json = boost::json;
 
 // Proxies apply an edit within moments of each other, so that being one or two behind is no matter.
-constexpr std::int64_t LagWorthAttention = 10;
+constexpr std::int64_t MaxNormalLag = 10;
 
 // Lines of one list on the screen; the rest are counted.
-constexpr std::size_t MostLines = 15;
+constexpr std::size_t MaxListLines = 15;
 
 using Lines = std::vector<std::vector<std::string>>;
 
 // Returns the field at `key`, or nullptr.
-const json::value *fieldOf(const json::value &object, std::string_view key)
+const json::value *findField(const json::value &object, std::string_view key)
 {
     const json::object *fields = object.if_object();
     return fields ? fields->if_contains(key) : nullptr;
 }
 
-std::string shownField(const json::value &object, std::string_view key)
+std::string fieldText(const json::value &object, std::string_view key)
 {
-    const json::value *field = fieldOf(object, key);
+    const json::value *field = findField(object, key);
     return field ? plainText(*field) : "?";
 }
 
 std::int64_t numberField(const json::value &object, std::string_view key)
 {
-    const json::value *field = fieldOf(object, key);
+    const json::value *field = findField(object, key);
     boost::system::error_code problem;
     const auto number = field ? field->to_number<std::int64_t>(problem) : 0;
     return problem ? 0 : number;
@@ -50,13 +50,13 @@
 
 bool isTrue(const json::value &object, std::string_view key)
 {
-    const json::value *field = fieldOf(object, key);
+    const json::value *field = findField(object, key);
     return field && field->is_bool() && field->get_bool();
 }
 
 json::array listField(const json::value &object, std::string_view key)
 {
-    const json::value *field = fieldOf(object, key);
+    const json::value *field = findField(object, key);
     return field && field->is_array() ? field->get_array() : json::array {};
 }
 
@@ -70,27 +70,27 @@
     int ejected = 0;
 };
 
-void findTargets(const json::value &service, Findings &findings)
+void collectTargets(const json::value &service, Findings &findings)
 {
     for (const json::value &target : listField(service, "targets")) {
-        const std::string phase = shownField(target, "phase");
+        const std::string phase = fieldText(target, "phase");
         if (phase != "healthy") {
-            const std::string domain = shownField(target, "failure_domain");
-            findings.targets.push_back({ shownField(service, "service"), shownField(target, "target"), domain, phase });
+            const std::string domain = fieldText(target, "failure_domain");
+            findings.targets.push_back({ fieldText(service, "service"), fieldText(target, "target"), domain, phase });
         }
         findings.ejected += phase == "ejected" ? 1 : 0;
     }
 }
 
-void findLimits(const json::value &service, Findings &findings)
+void collectLimits(const json::value &service, Findings &findings)
 {
     for (const json::value &account : listField(service, "accounts")) {
-        const json::value *refused = fieldOf(account, "refused");
+        const json::value *refused = findField(account, "refused");
         const json::object *kinds = refused ? refused->if_object() : nullptr;
         for (const json::key_value_pair &kind : kinds ? *kinds : json::object {}) {
             if (numberField(*refused, kind.key()) > 0) {
-                findings.limits.push_back({ shownField(account, "account"),
-                                            shownField(service, "service"),
+                findings.limits.push_back({ fieldText(account, "account"),
+                                            fieldText(service, "service"),
                                             std::string(kind.key()),
                                             plainText(kind.value()) });
             }
@@ -98,39 +98,39 @@
     }
 }
 
-Findings findingsOf(const json::value &status)
+Findings collectFindings(const json::value &status)
 {
     Findings findings;
     for (const json::value &member : listField(status, "members")) {
-        ++findings.members[shownField(member, "status")];
+        ++findings.members[fieldText(member, "status")];
         const std::int64_t lag = numberField(member, "applied") - numberField(status, "applied");
         findings.lag = std::max(findings.lag, lag);
     }
     for (const json::value &service : listField(status, "services")) {
-        findTargets(service, findings);
-        findLimits(service, findings);
+        collectTargets(service, findings);
+        collectLimits(service, findings);
         if (isTrue(service, "floor_binds")) {
-            findings.floors.push_back({ shownField(service, "service"), shownField(service, "floor") });
+            findings.floors.push_back({ fieldText(service, "service"), fieldText(service, "floor") });
         }
     }
     return findings;
 }
 
-std::vector<std::string> attentionOf(const json::value &status, const Findings &findings)
+std::vector<std::string> findProblems(const json::value &status, const Findings &findings)
 {
     std::vector<std::string> attention;
-    const auto note = [&](bool holds, const std::string &text) {
-        if (holds) {
+    const auto addIf = [&](bool condition, const std::string &text) {
+        if (condition) {
             attention.push_back(text);
         }
     };
-    note(!isTrue(status, "ready"), "the proxy is not ready");
-    note(isTrue(status, "draining"), "the proxy is draining");
-    note(!isTrue(status, "log_reachable"), "the log service does not answer");
-    note(findings.lag > LagWorthAttention, "the configuration is behind that of other proxies");
-    note(findings.members.contains("suspect"), "proxies are suspected");
-    note(findings.ejected > 0, "targets are ejected");
-    note(!findings.floors.empty(), "floors keep sick targets in service");
+    addIf(!isTrue(status, "ready"), "the proxy is not ready");
+    addIf(isTrue(status, "draining"), "the proxy is draining");
+    addIf(!isTrue(status, "log_reachable"), "the log service does not answer");
+    addIf(findings.lag > MaxNormalLag, "the configuration is behind that of other proxies");
+    addIf(findings.members.contains("suspect"), "proxies are suspected");
+    addIf(findings.ejected > 0, "targets are ejected");
+    addIf(!findings.floors.empty(), "floors keep sick targets in service");
     return attention;
 }
 
@@ -141,7 +141,7 @@
     if (lines.empty()) {
         return;
     }
-    const std::size_t hidden = lines.size() > MostLines ? lines.size() - MostLines : 0;
+    const std::size_t hidden = lines.size() > MaxListLines ? lines.size() - MaxListLines : 0;
     lines.resize(lines.size() - hidden);
     lines.insert(lines.begin(), std::move(heading));
     for (std::vector<std::string> &line : lines) {
@@ -183,19 +183,19 @@
 
 } // namespace internal
 
-StatusView viewStatus(const boost::json::value &status)
+StatusView renderStatus(const boost::json::value &status)
 {
-    using internal::shownField;
-    internal::Findings findings = internal::findingsOf(status);
+    using internal::fieldText;
+    internal::Findings findings = internal::collectFindings(status);
     StatusView view;
-    view.attention = internal::attentionOf(status, findings);
+    view.attention = internal::findProblems(status, findings);
     std::ostringstream text;
     text << (view.attention.empty() ? "healthy" : "attention") << "\n";
     for (const std::string &line : view.attention) {
         text << "  ! " << line << "\n";
     }
-    text << "proxy: " << shownField(status, "vm") << "\n";
-    text << "configuration: " << shownField(status, "applied") << " records applied, " << findings.lag
+    text << "proxy: " << fieldText(status, "vm") << "\n";
+    text << "configuration: " << fieldText(status, "applied") << " records applied, " << findings.lag
          << " behind the farthest proxy\n";
     text << "log service: " << (internal::isTrue(status, "log_reachable") ? "answers" : "does not answer") << "\n";
     text << "proxies: " << findings.members["alive"] << " alive, " << findings.members["suspect"] << " suspected, "
@@ -213,7 +213,7 @@
     return view;
 }
 
-std::string viewMembers(const boost::json::value &members)
+std::string renderMembers(const boost::json::value &members)
 {
     const std::vector<std::string> fields { "vm", "failure_domain", "status", "ready", "applied", "caller", "peer" };
     std::vector<std::vector<std::string>> lines { fields };
@@ -221,7 +221,7 @@
     for (const internal::json::value &member : members.is_array() ? members.get_array() : none) {
         std::vector<std::string> line;
         for (const std::string &field : fields) {
-            line.push_back(internal::shownField(member, field));
+            line.push_back(internal::fieldText(member, field));
         }
         lines.push_back(std::move(line));
     }
@@ -230,7 +230,7 @@
     return text.str();
 }
 
-std::string viewDump(const boost::json::value &dump)
+std::string renderDump(const boost::json::value &dump)
 {
     std::ostringstream text;
     internal::addIndented(text, dump, "");
--- a/src/net/adminserver.cpp
+++ b/src/net/adminserver.cpp
@@ -27,25 +27,25 @@
 namespace internal
 {
 
-constexpr std::size_t MostConnections = 512;
-constexpr std::uint64_t MostBody = 64ULL * 1024 * 1024;
-constexpr std::chrono::seconds ConnectionTime { 60 };
+constexpr std::size_t MaxConnections = 512;
+constexpr std::uint64_t MaxBodyBytes = 64ULL * 1024 * 1024;
+constexpr std::chrono::seconds ConnectionTimeout { 60 };
 
 // Takes the same time wherever the two differ.
-bool sameText(std::string_view left, std::string_view right)
+bool constantTimeEquals(std::string_view left, std::string_view right)
 {
     return left.size() == right.size() && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
 } // namespace internal
 
-AdminAnswer adminError(const Error &error)
+AdminResponse adminErrorResponse(const Error &error)
 {
     const ErrorAnswer &row = errorAnswer(error.kind);
     boost::json::object body;
     body["error"] = boost::json::string_view(row.name.data(), row.name.size());
     body["detail"] = error.detail;
-    return AdminAnswer { row.status, "application/json", boost::json::serialize(body) + "\n" };
+    return AdminResponse { row.status, "application/json", boost::json::serialize(body) + "\n" };
 }
 
 std::uint64_t queryNumber(const std::string &query, const std::string &name, std::uint64_t fallback)
@@ -99,11 +99,11 @@
             co_return;
         }
         if (error) {
-            Timer pause(m_context, std::chrono::milliseconds(50));
-            co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
+            Timer retryTimer(m_context, std::chrono::milliseconds(50));
+            co_await retryTimer.async_wait(asio::redirect_error(asio::use_awaitable, error));
             continue;
         }
-        if (m_connections < internal::MostConnections) {
+        if (m_connections < internal::MaxConnections) {
             asio::co_spawn(m_context, serve(std::move(socket)), asio::detached);
         }
     }
@@ -122,7 +122,7 @@
     }
     bool matches = false;
     for (const std::string &key : m_keys) {
-        matches = internal::sameText(authorization.substr(Scheme.size()), key) || matches;
+        matches = internal::constantTimeEquals(authorization.substr(Scheme.size()), key) || matches;
     }
     return matches;
 }
@@ -132,11 +132,11 @@
     ++m_connections;
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer;
-    bool goesOn = true;
-    while (goesOn) {
+    bool keepOpen = true;
+    while (keepOpen) {
         http::request_parser<http::string_body> parser;
-        parser.body_limit(internal::MostBody);
-        stream.expires_after(internal::ConnectionTime);
+        parser.body_limit(internal::MaxBodyBytes);
+        stream.expires_after(internal::ConnectionTimeout);
         error_code error;
         co_await http::async_read(stream, buffer, parser, asio::redirect_error(asio::use_awaitable, error));
         if (error) {
@@ -144,32 +144,32 @@
         }
         const auto &message = parser.get();
         const std::string target(message.target());
-        const std::size_t mark = target.find('?');
+        const std::size_t queryStart = target.find('?');
         AdminRequest request;
         request.method = std::string(message.method_string());
-        request.path = target.substr(0, mark);
-        request.query = mark == std::string::npos ? "" : target.substr(mark + 1);
+        request.path = target.substr(0, queryStart);
+        request.query = queryStart == std::string::npos ? "" : target.substr(queryStart + 1);
         request.body = message.body();
         const auto authorization = message[http::field::authorization];
-        AdminAnswer answer;
+        AdminResponse adminResponse;
         if (isAllowed(request.path, { authorization.data(), authorization.size() })) {
-            stream.expires_after(internal::ConnectionTime);
-            answer = co_await m_handler(std::move(request));
+            stream.expires_after(internal::ConnectionTimeout);
+            adminResponse = co_await m_handler(std::move(request));
         } else {
             m_events(Event::CallerRefused, { { "kind", "unauthenticated" }, { "path", request.path } });
-            answer = adminError(Error { ErrorKind::Unauthenticated, "an operator key is needed" });
+            adminResponse = adminErrorResponse(Error { ErrorKind::Unauthenticated, "an operator key is needed" });
         }
         http::response<http::string_body> response;
         response.version(11);
-        response.result(static_cast<unsigned>(answer.status));
-        response.set(http::field::content_type, answer.contentType);
+        response.result(static_cast<unsigned>(adminResponse.status));
+        response.set(http::field::content_type, adminResponse.contentType);
         response.set(http::field::cache_control, "no-store");
         response.keep_alive(message.keep_alive());
-        response.body() = std::move(answer.body);
+        response.body() = std::move(adminResponse.body);
         response.prepare_payload();
-        stream.expires_after(internal::ConnectionTime);
+        stream.expires_after(internal::ConnectionTimeout);
         co_await http::async_write(stream, response, asio::redirect_error(asio::use_awaitable, error));
-        goesOn = !error && message.keep_alive();
+        keepOpen = !error && message.keep_alive();
     }
     error_code ignored;
     stream.socket().shutdown(asio::socket_base::shutdown_send, ignored);
--- a/src/net/budgetmessages.cpp
+++ b/src/net/budgetmessages.cpp
@@ -10,14 +10,14 @@
 template<typename Archive>
 void save(Archive &archive, const BudgetMessage &message)
 {
-    archive(message.service.value(), message.question);
+    archive(message.service.value(), message.requestNumber);
 }
 
 template<typename Archive>
 void load(Archive &archive, BudgetMessage &message)
 {
     std::string service;
-    archive(service, message.question);
+    archive(service, message.requestNumber);
     message.service = ServiceName(std::move(service));
 }
 
--- a/src/net/budgetmessagestest.cpp
+++ b/src/net/budgetmessagestest.cpp
@@ -6,14 +6,14 @@
 
 TEST_GROUP(BudgetMessages) {};
 
-TEST(BudgetMessages, arriveAsTheyWereSent)
+TEST(BudgetMessages, roundTripThroughEncoding)
 {
     const Result<BudgetMessage> read = decodeBudgetMessage(encode(BudgetMessage { ServiceName("s"), 7 }));
     STRCMP_EQUAL("s", read->service.value().c_str());
-    CHECK_EQUAL(7, read->question);
+    CHECK_EQUAL(7, read->requestNumber);
 }
 
-TEST(BudgetMessages, bytesCutShortAreRefused)
+TEST(BudgetMessages, truncatedBytesAreRejected)
 {
     const std::string bytes = encode(BudgetMessage { ServiceName("service"), 7 });
     for (std::size_t size = 0; size < bytes.size(); ++size) {
--- a/src/net/callerserver.cpp
+++ b/src/net/callerserver.cpp
@@ -16,7 +16,7 @@
 namespace internal
 {
 
-constexpr Duration AcceptPause = Millis(50);
+constexpr Duration AcceptRetryDelay = Millis(50);
 
 // Runs one session; its memory is the coroutine's.
 DataAwaitable<void> runSession(DataSocket socket, Worker &worker, CallerContext &context)
@@ -26,10 +26,10 @@
 }
 
 // Tells a caller beyond the limit to come back, without reading anything from it.
-void turnAway(DataSocket &socket)
+void rejectConnection(DataSocket &socket)
 {
-    const OwnAnswer answer = errorAnswerFor(ErrorKind::TooManyConnections, Outcome::NotRun, 1, "", "");
-    const std::string bytes = ownAnswerBytes(answer, "", false, false);
+    const LocalResponse response = errorResponseFor(ErrorKind::TooManyConnections, Outcome::NotRun, 1, "", "");
+    const std::string bytes = localResponseBytes(response, "", false, false);
     error_code ignored;
     socket.non_blocking(true, ignored);
     socket.write_some(asio::buffer(bytes), ignored);
@@ -74,9 +74,9 @@
         }
         if (error) {
             // Out of file descriptors, usually: trying again at once would only spin.
-            auto pause = std::make_shared<DataTimer>(m_workers.front()->context);
-            pause->expires_after(internal::AcceptPause);
-            pause->async_wait([this, pause](error_code waitError) {
+            auto retryTimer = std::make_shared<DataTimer>(m_workers.front()->context);
+            retryTimer->expires_after(internal::AcceptRetryDelay);
+            retryTimer->async_wait([this, retryTimer](error_code waitError) {
                 if (!waitError && m_acceptor.is_open()) {
                     acceptNext();
                 }
@@ -91,7 +91,7 @@
 void CallerServer::serve(DataSocket socket, Worker &worker)
 {
     if (m_context.counters.connections >= m_context.limits.connections) {
-        internal::turnAway(socket);
+        internal::rejectConnection(socket);
         return;
     }
     // The session is made on its own worker's thread: nothing of it may be touched by this one.
