--- a/src/policy/configsnapshot.cpp
+++ b/src/policy/configsnapshot.cpp
@@ -14,7 +14,7 @@
 namespace json = boost::json;
 
 constexpr std::uint64_t SnapshotFormat = 1;
-constexpr const char *HeadLine = "mulberryplank-snapshot";
+constexpr const char *HeaderLine = "mulberryplank-snapshot";
 constexpr const char *AccountLine = "a";
 constexpr const char *ServiceLine = "s";
 constexpr const char *TargetLine = "t"; // of the service above it
@@ -57,7 +57,7 @@
         , m_value(parseJson(line))
     {
         if (!m_value.is_array()) {
-            throw FieldFault(m_place + ": must be a list");
+            throw FieldError(m_place + ": must be a list");
         }
     }
 
@@ -91,7 +91,7 @@
 
     [[noreturn]] void fail(const std::string &rule) const
     {
-        throw FieldFault(m_place + ", field " + std::to_string(m_position) + ": " + rule);
+        throw FieldError(m_place + ", field " + std::to_string(m_position) + ": " + rule);
     }
 
 private:
@@ -163,9 +163,9 @@
     return outcome;
 }
 
-Offset readHead(LineReader &line)
+Offset readHeader(LineReader &line)
 {
-    if (line.text() != HeadLine) {
+    if (line.text() != HeaderLine) {
         line.fail("must be a snapshot of mulberryplank");
     }
     if (line.number<std::uint64_t>() != SnapshotFormat) {
@@ -180,7 +180,7 @@
 {
     using namespace internal;
     LineWriter writer(sink);
-    writer.write({ HeadLine, SnapshotFormat, m_d->next, toHex(m_d->lastRecord.data(), m_d->lastRecord.size()) });
+    writer.write({ HeaderLine, SnapshotFormat, m_d->next, toHex(m_d->lastRecord.data(), m_d->lastRecord.size()) });
     for (const Account *account : accounts()) {
         const std::string digest = toHex(account->secretDigest.data(), account->secretDigest.size());
         writer.write({ AccountLine, account->name.value(), digest, account->version });
@@ -246,8 +246,8 @@
     {
     }
 
-    // Takes one line after the first. Throws FieldFault.
-    void take(std::string_view text, std::uint64_t number, std::vector<EditOutcome> &outcomes)
+    // Takes one line after the first. Throws FieldError.
+    void consume(std::string_view text, std::uint64_t number, std::vector<EditOutcome> &outcomes)
     {
         LineReader line(text, number);
         const std::string kind = line.text();
@@ -278,9 +278,9 @@
 private:
     void add(const LineReader &line, const ConfigItem &item)
     {
-        const std::string obstacle = m_store.obstacleToSet(item);
-        if (!obstacle.empty()) {
-            line.fail(itemLabel(item) + ": " + obstacle);
+        const std::string reason = m_store.checkSet(item);
+        if (!reason.empty()) {
+            line.fail(itemLabel(item) + ": " + reason);
         }
         m_store.set(item);
     }
@@ -306,77 +306,77 @@
     {
     }
 
-    void take(std::string_view piece)
+    void consume(std::string_view piece)
     {
         for (auto end = piece.find('\n'); end != std::string_view::npos; end = piece.find('\n')) {
-            m_begun += piece.substr(0, end);
-            m_line(m_begun);
-            m_begun.clear();
+            m_partialLine += piece.substr(0, end);
+            m_line(m_partialLine);
+            m_partialLine.clear();
             piece.remove_prefix(end + 1);
         }
-        m_begun += piece;
+        m_partialLine += piece;
     }
 
     // Passes on a last line without its end.
     void finish()
     {
-        if (!m_begun.empty()) {
-            m_line(m_begun);
+        if (!m_partialLine.empty()) {
+            m_line(m_partialLine);
         }
     }
 
 private:
     Line m_line;
-    std::string m_begun;
+    std::string m_partialLine;
 };
 
 } // namespace internal
 
 Result<ConfigTable> ConfigTable::fromSnapshot(std::string_view bytes)
 {
-    return readSnapshot([bytes](const Piece &take) {
-        take(bytes);
+    return readSnapshot([bytes](const PieceSink &consume) {
+        consume(bytes);
     });
 }
 
 Result<ConfigTable> ConfigTable::fromSnapshot(std::vector<std::string> pieces)
 {
-    return readSnapshot([&pieces](const Piece &take) {
+    return readSnapshot([&pieces](const PieceSink &consume) {
         for (std::string &piece : pieces) {
-            take(piece);
+            consume(piece);
             piece = std::string();
         }
     });
 }
 
-Result<ConfigTable> ConfigTable::readSnapshot(const std::function<void(const Piece &)> &feed)
+Result<ConfigTable> ConfigTable::readSnapshot(const std::function<void(const PieceSink &)> &source)
 {
     ConfigTable table;
     std::vector<EditOutcome> outcomes;
     internal::SnapshotReader reader(table.m_d->store);
     std::uint64_t number = 0;
-    bool tooLong = false;
+    bool hasTrailingLines = false;
     internal::LineSplitter lines([&](std::string_view line) {
         ++number;
         if (reader.ended()) {
-            tooLong = true;
+            hasTrailingLines = true;
         } else if (number == 1) {
-            internal::LineReader head(line, number);
-            table.m_d->next = internal::readHead(head);
-            table.m_d->lastRecord = internal::readDigest(head);
+            internal::LineReader header(line, number);
+            table.m_d->next = internal::readHeader(header);
+            table.m_d->lastRecord = internal::readDigest(header);
         } else {
-            reader.take(line, number, outcomes);
+            reader.consume(line, number, outcomes);
         }
     });
     try {
-        feed([&lines](std::string_view piece) {
-            lines.take(piece);
+        source([&lines](std::string_view piece) {
+            lines.consume(piece);
         });
         lines.finish();
-    } catch (const internal::FieldFault &fault) {
-        return failure(ErrorKind::BadConfiguration, "snapshot: " + fault.detail);
+    } catch (const internal::FieldError &error) {
+        return failure(ErrorKind::BadConfiguration, "snapshot: " + error.detail);
     }
-    if (!reader.ended() || tooLong) {
+    if (!reader.ended() || hasTrailingLines) {
         return failure(ErrorKind::BadConfiguration, "snapshot: cut short, or longer than it says");
     }
     for (const EditOutcome &outcome : outcomes) {
--- a/src/policy/configstore.cpp
+++ b/src/policy/configstore.cpp
@@ -68,7 +68,7 @@
     return found ? std::optional<ConfigItem>(*found) : std::nullopt;
 }
 
-std::string ConfigStore::obstacleToSet(const ConfigItem &item) const
+std::string ConfigStore::checkSet(const ConfigItem &item) const
 {
     if (const auto *newTarget = std::get_if<Target>(&item)) {
         const bool known = m_services.find(newTarget->service.value()).has_value();
@@ -84,7 +84,7 @@
     return "";
 }
 
-std::string ConfigStore::obstacleToRemove(const ConfigItem &key) const
+std::string ConfigStore::checkRemove(const ConfigItem &key) const
 {
     if (const auto *oldAccount = std::get_if<Account>(&key)) {
         const AccountEntry *entry = m_accounts.entry(oldAccount->name.value());
--- a/src/policy/configstore.h
+++ b/src/policy/configstore.h
@@ -201,15 +201,15 @@
     std::optional<ConfigItem> find(const ConfigItem &key) const;
 
     // Returns why the item can't be set, such as a missing service that it refers to; empty when it can.
-    std::string obstacleToSet(const ConfigItem &item) const;
+    std::string checkSet(const ConfigItem &item) const;
 
     // Returns why the item can't be removed, such as rows that refer to it; empty when it can.
-    std::string obstacleToRemove(const ConfigItem &key) const;
+    std::string checkRemove(const ConfigItem &key) const;
 
-    // Adds or replaces the item; obstacleToSet() must be empty.
+    // Adds or replaces the item; checkSet() must be empty.
     void set(const ConfigItem &item);
 
-    // Removes the item with the name of `key`, if any; obstacleToRemove() must be empty.
+    // Removes the item with the name of `key`, if any; checkRemove() must be empty.
     void remove(const ConfigItem &key);
 
 private:
--- a/src/policy/configtable.cpp
+++ b/src/policy/configtable.cpp
@@ -101,11 +101,10 @@
     {
         for (const std::size_t index : orderOf(changes)) {
             const Change &change = changes[index];
-            const std::string obstacle =
-                change.remove ? m_store.obstacleToRemove(change.item) : m_store.obstacleToSet(change.item);
-            if (!obstacle.empty()) {
+            const std::string reason = change.remove ? m_store.checkRemove(change.item) : m_store.checkSet(change.item);
+            if (!reason.empty()) {
                 undo();
-                return pathOf(index, change) + ": " + obstacle;
+                return pathOf(index, change) + ": " + reason;
             }
             perform(change);
         }
@@ -149,9 +148,9 @@
     if (const std::string conflict = conflictOf(store, edit); !conflict.empty()) {
         return outcome(edit.id, offset, EditStatus::Conflict, conflict);
     }
-    const std::string fault = Transaction(store, offset + 1).run(edit.changes);
-    if (!fault.empty()) {
-        return outcome(edit.id, offset, EditStatus::Invalid, fault);
+    const std::string reason = Transaction(store, offset + 1).run(edit.changes);
+    if (!reason.empty()) {
+        return outcome(edit.id, offset, EditStatus::Invalid, reason);
     }
     return outcome(edit.id, offset, EditStatus::Accepted, "");
 }
@@ -183,7 +182,7 @@
 {
     decided.emplace(outcome.id, outcome);
     decidedOrder.push_back(outcome.id);
-    if (decidedOrder.size() > RememberedEdits) {
+    if (decidedOrder.size() > MaxRememberedEdits) {
         decided.erase(decidedOrder.front());
         decidedOrder.pop_front();
     }
@@ -308,8 +307,8 @@
 {
     std::vector<Row> items;
     for (const Service *service : services()) {
-        std::vector<Row> some = rowsOf(service->name);
-        std::move(some.begin(), some.end(), std::back_inserter(items));
+        std::vector<Row> serviceRows = rowsOf(service->name);
+        std::move(serviceRows.begin(), serviceRows.end(), std::back_inserter(items));
     }
     const auto byAccount = [](const Row &a, const Row &b) {
         return a.account < b.account;
@@ -339,7 +338,7 @@
     return found == m_d->decided.end() ? std::nullopt : std::optional<EditOutcome>(found->second);
 }
 
-bool ConfigTable::mayFollow(const ConfigTable &older) const
+bool ConfigTable::mayShareLogWith(const ConfigTable &older) const
 {
     if (older.m_d->decidedOrder.empty()) {
         return true;
@@ -349,8 +348,9 @@
         return *same == last;
     }
     const std::deque<EditId> &order = m_d->decidedOrder;
-    const bool reachesBack = order.size() < RememberedEdits || m_d->decided.at(order.front()).offset <= last.offset;
-    return !reachesBack;
+    const bool rememberedFarEnough =
+        order.size() < MaxRememberedEdits || m_d->decided.at(order.front()).offset <= last.offset;
+    return !rememberedFarEnough;
 }
 
 } // namespace mulberryplank
--- a/src/policy/configtabletest.cpp
+++ b/src/policy/configtabletest.cpp
@@ -43,7 +43,7 @@
 TEST(ConfigTable, sameTableByAnyRoute)
 {
     CHECK_TRUE(rc::check("the log alone, or a snapshot and the rest of the log, give the same bytes", [] {
-        const auto log = drawLog();
+        const auto log = generateLog();
         const auto middle = *rc::gen::inRange<Offset>(0, log.size() + 1);
         ConfigTable whole;
         applyUpTo(whole, log, middle);
@@ -60,7 +60,7 @@
 TEST(ConfigTable, editIsAcceptedWholeOrChangesNothing)
 {
     CHECK_TRUE(rc::check("versions follow a model that only knows accepted edits", [] {
-        const auto log = drawLog();
+        const auto log = generateLog();
         ConfigTable fold;
         std::map<std::string, Version> model;
         for (const std::string &text : log) {
@@ -89,7 +89,7 @@
 TEST(ConfigTable, itemsNeverReferToMissingOnes)
 {
     CHECK_TRUE(rc::check("after any edits every reference holds, and lists agree with look-ups", [] {
-        const auto log = drawLog();
+        const auto log = generateLog();
         ConfigTable fold;
         applyUpTo(fold, log, log.size());
         for (const Row &row : fold.rows()) {
@@ -169,7 +169,7 @@
 TEST(ConfigTable, remembersABoundedNumberOfEdits)
 {
     fill();
-    for (std::size_t count = 0; count < RememberedEdits; ++count) {
+    for (std::size_t count = 0; count < MaxRememberedEdits; ++count) {
         apply(record("n" + std::to_string(count), { { row("a", "none"), false } }));
     }
     CHECK_FALSE(table.outcomeOf(EditId("fill")).has_value());
--- a/src/policy/configtestdata.h
+++ b/src/policy/configtestdata.h
@@ -61,48 +61,48 @@
 }
 
 // Draws numbers for one record from a single random number.
-class Draw
+class NumberSource
 {
 public:
-    explicit Draw(std::uint64_t number)
+    explicit NumberSource(std::uint64_t number)
         : m_number(number)
     {
     }
 
-    std::uint64_t upTo(std::uint64_t end)
+    std::uint64_t below(std::uint64_t end)
     {
-        const std::uint64_t drawn = m_number % end;
+        const std::uint64_t number = m_number % end;
         m_number /= end;
-        return drawn;
+        return number;
     }
 
 private:
     std::uint64_t m_number;
 };
 
-inline ConfigItem drawItem(Draw &draw)
+inline ConfigItem generateItem(NumberSource &source)
 {
-    const std::string accountName = "a" + std::to_string(draw.upTo(3));
-    const std::string serviceName = "s" + std::to_string(draw.upTo(2));
-    switch (draw.upTo(4)) {
+    const std::string accountName = "a" + std::to_string(source.below(3));
+    const std::string serviceName = "s" + std::to_string(source.below(2));
+    switch (source.below(4)) {
     case 0:
         return account(accountName);
     case 1:
         return service(serviceName);
     case 2:
-        return target("t" + std::to_string(draw.upTo(2)), serviceName);
+        return target("t" + std::to_string(source.below(2)), serviceName);
     default:
-        return row(accountName, serviceName, 1 + static_cast<std::uint32_t>(draw.upTo(9)));
+        return row(accountName, serviceName, 1 + static_cast<std::uint32_t>(source.below(9)));
     }
 }
 
 // Returns a change that mostly names the current version, and else a stale or made-up one.
-inline Change drawChange(Draw &draw, const ConfigTable &table)
+inline Change generateChange(NumberSource &source, const ConfigTable &table)
 {
-    Change change { drawItem(draw), false };
+    Change change { generateItem(source), false };
     const Version current = currentVersion(table, change.item);
-    const Version base = draw.upTo(6) == 0 ? draw.upTo(5) : current;
-    change.remove = base != 0 && draw.upTo(3) == 0;
+    const Version base = source.below(6) == 0 ? source.below(5) : current;
+    change.remove = base != 0 && source.below(3) == 0;
     std::visit(
         [base](auto &item) {
             item.version = base;
@@ -112,23 +112,23 @@
 }
 
 // Returns a log of edits: most of them sound, some conflicting, repeated, invalid or damaged.
-inline std::vector<std::string> drawLog()
+inline std::vector<std::string> generateLog()
 {
     const auto number = rc::gen::resize(rc::kNominalSize, rc::gen::inRange<std::uint64_t>(0, 1ULL << 62U));
     const auto numbers = *rc::gen::resize(80, rc::gen::container<std::vector<std::uint64_t>>(number));
     ConfigTable table;
     std::vector<std::string> log;
     for (const std::uint64_t seed : numbers) {
-        Draw draw(seed);
-        const auto kind = draw.upTo(12);
+        NumberSource source(seed);
+        const auto kind = source.below(12);
         if (kind == 0 && !log.empty()) {
-            log.push_back(log[draw.upTo(log.size())]);
+            log.push_back(log[source.below(log.size())]);
         } else if (kind == 1) {
             log.push_back(R"({"v":2,"id":"later"})");
         } else {
-            std::vector<Change> changes { drawChange(draw, table) };
-            const Change second = drawChange(draw, table);
-            if (draw.upTo(2) == 0 && itemLabel(second.item) != itemLabel(changes[0].item)) {
+            std::vector<Change> changes { generateChange(source, table) };
+            const Change second = generateChange(source, table);
+            if (source.below(2) == 0 && itemLabel(second.item) != itemLabel(changes[0].item)) {
                 changes.push_back(second);
             }
             log.push_back(record("e" + std::to_string(log.size()), std::move(changes)));
--- a/src/policy/configurationtransfer.cpp
+++ b/src/policy/configurationtransfer.cpp
@@ -4,7 +4,7 @@
 
 #include <xxhash.h>
 
-#include "mulberryplank/policy/pack.h"
+#include "mulberryplank/policy/compression.h"
 
 namespace mulberryplank
 {
@@ -14,27 +14,27 @@
     return XXH3_64bits(bytes.data(), bytes.size());
 }
 
-ConfigurationPiece cutPiece(std::string_view bytes,
-                            std::uint64_t version,
-                            std::uint64_t digest,
-                            const PiecePosition &from)
+ConfigurationPiece pieceAt(std::string_view bytes,
+                           std::uint64_t version,
+                           std::uint64_t digest,
+                           const PiecePosition &from)
 {
-    const bool goesOn = from.version == version && from.digest == digest && from.begin < bytes.size();
+    const bool continues = from.version == version && from.digest == digest && from.begin < bytes.size();
     ConfigurationPiece piece;
-    piece.position = { version, digest, goesOn ? from.begin : 0 };
+    piece.position = { version, digest, continues ? from.begin : 0 };
     piece.size = bytes.size();
     piece.bytes = bytes.substr(piece.position.begin, ConfigurationPieceSize);
     return piece;
 }
 
-bool ConfigurationTransfer::begins(const ConfigurationPiece &piece) const
+bool ConfigurationTransfer::startsTransfer(const ConfigurationPiece &piece) const
 {
     const bool other = piece.position.version != m_version || piece.position.digest != m_digest;
     const bool older = piece.position.version < m_version;
     return piece.position.begin == 0 && other && (!older || m_sourceFailed);
 }
 
-bool ConfigurationTransfer::goesOn(const ConfigurationPiece &piece) const
+bool ConfigurationTransfer::continues(const ConfigurationPiece &piece) const
 {
     return piece.position.version == m_version && piece.position.digest == m_digest
            && piece.position.begin == m_received.size() && piece.size == m_size;
@@ -42,18 +42,18 @@
 
 std::optional<std::string> ConfigurationTransfer::take(const ConfigurationPiece &piece)
 {
-    const bool sound = !piece.bytes.empty() && piece.size <= MaxUnpackedSize && piece.position.begin <= piece.size
-                       && piece.bytes.size() <= piece.size - piece.position.begin;
-    if (!sound) {
+    const bool isValid = !piece.bytes.empty() && piece.size <= MaxDecompressedSize && piece.position.begin <= piece.size
+                         && piece.bytes.size() <= piece.size - piece.position.begin;
+    if (!isValid) {
         return std::nullopt;
     }
-    if (begins(piece)) {
+    if (startsTransfer(piece)) {
         m_version = piece.position.version;
         m_digest = piece.position.digest;
         m_size = piece.size;
         m_received.clear();
     }
-    if (!goesOn(piece)) {
+    if (!continues(piece)) {
         return std::nullopt;
     }
     m_sourceFailed = false;
--- a/src/policy/configurationtransfertest.cpp
+++ b/src/policy/configurationtransfertest.cpp
@@ -5,7 +5,7 @@
 #include <CppUTest/TestHarness.h>
 #include <rapidcheck.h>
 
-#include "mulberryplank/policy/pack.h"
+#include "mulberryplank/policy/compression.h"
 
 using namespace mulberryplank;
 
@@ -23,7 +23,7 @@
 
 ConfigurationPiece pieceOf(const std::string &bytes, std::uint64_t version, const PiecePosition &from)
 {
-    return cutPiece(bytes, version, configurationDigest(bytes), from);
+    return pieceAt(bytes, version, configurationDigest(bytes), from);
 }
 
 constexpr std::size_t TwoPieces = ConfigurationPieceSize + 10;
@@ -82,7 +82,7 @@
     tooLong.size = tooLong.bytes.size() - 1;
     CHECK_FALSE(transfer.take(tooLong).has_value());
     ConfigurationPiece tooLarge = pieceOf(bytes, 3, transfer.next());
-    tooLarge.size = MaxUnpackedSize + 1;
+    tooLarge.size = MaxDecompressedSize + 1;
     CHECK_FALSE(transfer.take(tooLarge).has_value());
     ConfigurationPiece beyond = pieceOf(bytes, 3, transfer.next());
     beyond.position.begin = beyond.size + 1;
@@ -130,7 +130,7 @@
             }
         }
         bool arrived = false;
-        for (int answers = 0; answers < 6 && !arrived; ++answers) {
+        for (int responses = 0; responses < 6 && !arrived; ++responses) {
             arrived = take(pieceOf(versions.at(3), 3, transfer.next()));
         }
         RC_ASSERT(arrived);
--- a/src/policy/costmodel.cpp
+++ b/src/policy/costmodel.cpp
@@ -49,7 +49,7 @@
 
 Duration CostModel::typicalCost() const
 {
-    return m_logarithm.samples > 0 ? m_typical : m_settings.initialCost;
+    return m_logCost.samples > 0 ? m_typical : m_settings.initialCost;
 }
 
 Duration CostModel::costOf(Duration slotTime) const
@@ -71,8 +71,8 @@
     }
     const double seconds = toSeconds(costOf(slotTime));
     update(m_service, seconds, m_settings.gain);
-    update(m_logarithm, std::log(seconds), TypicalGain);
-    m_typical = costOf(fromSeconds(std::exp(m_logarithm.value)));
+    update(m_logCost, std::log(seconds), TypicalGain);
+    m_typical = costOf(fromSeconds(std::exp(m_logCost.value)));
     update(m_routes[index], seconds, m_settings.gain);
     update(m_accounts[account][index], seconds, m_settings.gain);
 }
@@ -87,8 +87,8 @@
 // The first samples count as a plain mean: a moving average would hold on to whichever came first.
 void CostModel::update(Average &average, double value, double gain)
 {
-    const auto most = static_cast<float>(1 / gain);
-    average.samples = std::min(average.samples + 1, most);
+    const auto maxSamples = static_cast<float>(1 / gain);
+    average.samples = std::min(average.samples + 1, maxSamples);
     average.value += (static_cast<float>(value) - average.value) / average.samples;
 }
 
--- a/src/policy/deadline.cpp
+++ b/src/policy/deadline.cpp
@@ -10,7 +10,7 @@
 {
 
 // A day: values beyond it are capped before they are multiplied into nanoseconds, where they would overflow.
-constexpr std::uint64_t MostDeadlineMs = 24ULL * 60 * 60 * 1'000;
+constexpr std::uint64_t MaxDeadlineMs = 24ULL * 60 * 60 * 1'000;
 
 } // namespace internal
 
@@ -50,8 +50,8 @@
     if (parsed != end || error != std::errc {} || value == 0) {
         return failure(ErrorKind::BadRequest, "X-Deadline-Ms must be a positive whole number of milliseconds");
     }
-    const Millis asked(std::min(value, internal::MostDeadlineMs));
-    return Deadline(arrived, std::min(asked, route.timeout));
+    const Millis requested(std::min(value, internal::MaxDeadlineMs));
+    return Deadline(arrived, std::min(requested, route.timeout));
 }
 
 Duration attemptTimeout(Duration remaining, std::uint32_t attemptsLeft)
--- a/src/policy/detectortest.cpp
+++ b/src/policy/detectortest.cpp
@@ -46,7 +46,7 @@
 TEST_GROUP(Detector) {};
 
 // Failure: targets whose answers vary a lot are ejected now and then though nothing is wrong with them.
-TEST(Detector, heavyTailsRaiseNoSuspicion)
+TEST(Detector, doesNotSuspectHeavyTailedLatencies)
 {
     CHECK_TRUE(rc::check("tails", [](std::uint32_t seed) {
         std::mt19937 random(seed);
@@ -60,7 +60,7 @@
     }));
 }
 
-TEST(Detector, findsASlowTargetWhateverTheUnitOfLatency)
+TEST(Detector, suspectsASlowTargetAtAnyLatencyScale)
 {
     CHECK_TRUE(rc::check("slow", [](std::uint32_t seed) {
         std::mt19937 random(seed);
@@ -74,7 +74,7 @@
     }));
 }
 
-TEST(Detector, shedsSayNothing)
+TEST(Detector, ignoresSheds)
 {
     Detector detector = makeDetector();
     for (int step = 0; step < 100; ++step) {
@@ -84,7 +84,7 @@
     DOUBLES_EQUAL(0, detector.recentAttempts(0), 0);
 }
 
-TEST(Detector, errorsOfAllTargetsAreNoSignAgainstOne)
+TEST(Detector, doesNotSuspectATargetForErrorsOfAllTargets)
 {
     Detector detector = makeDetector();
     std::mt19937 random(4);
--- a/src/policy/edit.cpp
+++ b/src/policy/edit.cpp
@@ -32,7 +32,7 @@
     Change change;
     reader.read("remove", change.remove);
     change.item = itemFromJson(reader, change.remove);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return change;
 }
 
@@ -50,7 +50,7 @@
     for (const json::value &change : changes->get_array()) {
         edit.changes.push_back(changeFromJson(change, "changes[" + std::to_string(edit.changes.size()) + "]"));
     }
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return edit;
 }
 
@@ -117,8 +117,8 @@
             return tl::make_unexpected(checked.error());
         }
         return edit;
-    } catch (const internal::FieldFault &fault) {
-        return failure(ErrorKind::BadConfiguration, fault.detail);
+    } catch (const internal::FieldError &error) {
+        return failure(ErrorKind::BadConfiguration, error.detail);
     }
 }
 
--- a/src/policy/editcheck.cpp
+++ b/src/policy/editcheck.cpp
@@ -18,7 +18,7 @@
 constexpr double MaxRequestsPerSecond = 1e9;
 constexpr Millis MaxTimeout { 86'400'000 };
 
-// Collects the first fault of one change, with the path of its field.
+// Collects the first error of one change, with the path of its field.
 class ChangeCheck
 {
 public:
@@ -27,10 +27,10 @@
     {
     }
 
-    void require(bool fine, const std::string &field, const std::string &rule, const std::string &value)
+    void require(bool valid, const std::string &field, const std::string &rule, const std::string &value)
     {
-        if (!fine && m_fault.empty()) {
-            m_fault = m_path + "." + field + ": " + rule + ", not \"" + value + "\"";
+        if (!valid && m_error.empty()) {
+            m_error = m_path + "." + field + ": " + rule + ", not \"" + value + "\"";
         }
     }
 
@@ -39,32 +39,32 @@
         constexpr std::string_view Allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-:@";
         // A spreadsheet would take a cell that begins with - or @ for a formula.
         constexpr std::size_t FirstAllowed = Allowed.find('.');
-        const bool fine = !value.empty() && value.size() <= MaxNameLength && Allowed.find(value.front()) < FirstAllowed
-                          && value.find_first_not_of(Allowed) == std::string::npos;
-        require(fine,
+        const bool valid = !value.empty() && value.size() <= MaxNameLength && Allowed.find(value.front()) < FirstAllowed
+                           && value.find_first_not_of(Allowed) == std::string::npos;
+        require(valid,
                 field,
                 "must be 1 to 64 letters, digits or ._-:@, a letter or digit first",
                 value.substr(0, MaxNameLength));
     }
 
     template<typename Number>
-    void range(const std::string &field, Number value, Number least, Number most)
+    void range(const std::string &field, Number value, Number minimum, Number maximum)
     {
         std::ostringstream rule;
-        rule << "must be " << least << " to " << most;
+        rule << "must be " << minimum << " to " << maximum;
         std::ostringstream shown;
         shown << value;
-        require(value >= least && value <= most, field, rule.str(), shown.str());
+        require(value >= minimum && value <= maximum, field, rule.str(), shown.str());
     }
 
-    const std::string &fault() const
+    const std::string &error() const
     {
-        return m_fault;
+        return m_error;
     }
 
 private:
     std::string m_path;
-    std::string m_fault;
+    std::string m_error;
 };
 
 bool isIpNumber(const std::string &host)
@@ -102,17 +102,17 @@
 void checkRoute(ChangeCheck &check, const std::string &path, const Route &route)
 {
     check.name(path + ".name", route.name);
-    const bool methodFine =
+    const bool methodValid =
         !route.method.empty()
         && (route.method == "*" || route.method.find_first_not_of("ABCDEFGHIJKLMNOPQRSTUVWXYZ") == std::string::npos);
-    check.require(methodFine, path + ".method", "must be * or a method in capitals", route.method);
+    check.require(methodValid, path + ".method", "must be * or a method in capitals", route.method);
     const auto visible = [](char character) {
         return character > ' ' && character <= '~';
     };
-    const bool pathFine = route.pathPrefix.starts_with('/') && route.pathPrefix.size() <= MaxPathLength
-                          && std::all_of(route.pathPrefix.begin(), route.pathPrefix.end(), visible);
+    const bool pathValid = route.pathPrefix.starts_with('/') && route.pathPrefix.size() <= MaxPathLength
+                           && std::all_of(route.pathPrefix.begin(), route.pathPrefix.end(), visible);
     const std::string rule = "must begin with / and have 1,024 visible ASCII characters at most";
-    check.require(pathFine, path + ".path_prefix", rule, route.pathPrefix);
+    check.require(pathValid, path + ".path_prefix", rule, route.pathPrefix);
     check.range<std::int64_t>(path + ".timeout_ms", route.timeout.count(), 1, MaxTimeout.count());
     check.range<std::int64_t>(path + ".progress_timeout_ms", route.progressTimeout.count(), 1, MaxTimeout.count());
 }
@@ -153,7 +153,7 @@
         check.require(!change.remove || item.version != 0, "version", "must name the version to remove", "0");
     };
     std::visit(checkItem, change.item);
-    return check.fault();
+    return check.error();
 }
 
 } // namespace internal
@@ -163,15 +163,15 @@
     internal::ChangeCheck check("edit");
     check.name("id", edit.id.value());
     check.require(!edit.changes.empty(), "changes", "must not be empty", "");
-    if (!check.fault().empty()) {
-        return failure(ErrorKind::BadConfiguration, check.fault());
+    if (!check.error().empty()) {
+        return failure(ErrorKind::BadConfiguration, check.error());
     }
     std::set<std::string> seen;
     for (std::size_t index = 0; index < edit.changes.size(); ++index) {
         const std::string path = "changes[" + std::to_string(index) + "]";
-        const std::string fault = internal::checkChange(edit.changes[index], path);
-        if (!fault.empty()) {
-            return failure(ErrorKind::BadConfiguration, fault);
+        const std::string error = internal::checkChange(edit.changes[index], path);
+        if (!error.empty()) {
+            return failure(ErrorKind::BadConfiguration, error);
         }
         const std::string label = itemLabel(edit.changes[index].item);
         if (!seen.insert(label).second) {
--- a/src/policy/evidence.cpp
+++ b/src/policy/evidence.cpp
@@ -15,20 +15,20 @@
 // What a healthy target's tests show now and then. Left out of every proxy's part, it can't add up over many proxies.
 constexpr double Noise = 2;
 
-void add(JointView &view, const TargetEvidence &evidence, double mostFromOne, double leastSupport)
+void add(JointView &view, const TargetEvidence &evidence, double maxPerProxy, double minSupport)
 {
     // A report is a peer's word: a value that is no number would make every sum with it wrong for good.
     if (!std::isfinite(evidence.suspicion)) {
         return;
     }
-    const double part = std::clamp<double>(evidence.suspicion - Noise, 0, mostFromOne);
+    const double part = std::clamp<double>(evidence.suspicion - Noise, 0, maxPerProxy);
     view.suspicion += part;
     view.largest = std::max(view.largest, part);
-    if (part >= leastSupport) {
+    if (part >= minSupport) {
         ++view.supporters;
     }
-    if (part >= leastSupport || evidence.attempts >= InformedAttempts) {
-        ++view.informed;
+    if (part >= minSupport || evidence.attempts >= InformedAttempts) {
+        ++view.observers;
     }
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-bool JointEvidence::findsWell(PeerKey peer, TargetId target, Instant now) const
+bool JointEvidence::reportsHealthy(PeerKey peer, TargetId target, Instant now) const
 {
     const auto evidence = m_peers.find(peer);
     if (evidence == m_peers.end() || now - evidence->second.receivedAt > m_lifetime) {
@@ -82,14 +82,14 @@
            && static_cast<double>(found->second.suspicion) <= internal::Noise;
 }
 
-JointView JointEvidence::view(const TargetEvidence &own, double mostFromOne, double leastSupport, Instant now) const
+JointView JointEvidence::view(const TargetEvidence &own, double maxPerProxy, double minSupport, Instant now) const
 {
     JointView result;
-    internal::add(result, own, mostFromOne, leastSupport);
+    internal::add(result, own, maxPerProxy, minSupport);
     for (const auto &[peer, evidence] : m_peers) {
         const auto found = evidence.byTarget.find(own.target);
         if (found != evidence.byTarget.end() && now - evidence.receivedAt <= m_lifetime) {
-            internal::add(result, found->second, mostFromOne, leastSupport);
+            internal::add(result, found->second, maxPerProxy, minSupport);
         }
     }
     return result;
--- a/src/policy/fairqueue.cpp
+++ b/src/policy/fairqueue.cpp
@@ -17,7 +17,7 @@
 // A request may be expected to run for at most this part of the time that it has left. Without this bound a spell of
 // slow answers would raise the estimate above every request's time limit; then all would be refused on arrival, none
 // would run, and the estimate could never come down again.
-constexpr double LargestExpectedPart = 0.5;
+constexpr double MaxExpectedRunShare = 0.5;
 
 // A request is started only if this many times its estimate is left. Half of all requests take longer than estimated;
 // slots spent on answers that come too late are lost for all.
@@ -29,9 +29,9 @@
 // Multiples of it, modulo 1, fill the unit interval evenly.
 constexpr double GoldenRatio = 0.618'033'988'749'894'9;
 
-constexpr Duration ShortestRetryAfter = Millis(100);
+constexpr Duration MinRetryAfter = Millis(100);
 
-constexpr double ShortestDemandInterval = 0.01; // seconds
+constexpr double MinDemandInterval = 0.01; // seconds
 
 } // namespace internal
 
@@ -116,9 +116,9 @@
     }
     account->running = 0;
     account->longRunning = 0;
-    m_d->noteInactive(*account);
-    if (account->touchedHook.is_linked()) {
-        m_d->touched.erase(m_d->touched.iterator_to(*account));
+    m_d->deactivateIfIdle(*account);
+    if (account->demandHook.is_linked()) {
+        m_d->accountsWithDemand.erase(m_d->accountsWithDemand.iterator_to(*account));
     }
     m_d->cost.forget(index);
     std::destroy_at(account);
@@ -151,10 +151,10 @@
     }
     m_d->chargeOverruns(now);
     const Duration estimate = m_d->cost.estimate(index, route);
-    m_d->noteOffered(*account, estimate);
-    m_d->applyRate(*account, now);
+    m_d->recordOffered(*account, estimate);
+    m_d->applyRateLimit(*account, now);
     const Duration expectedRun =
-        std::min(RunMargin * estimate, fromSeconds(toSeconds(deadline - now) * LargestExpectedPart));
+        std::min(RunMargin * estimate, fromSeconds(toSeconds(deadline - now) * MaxExpectedRunShare));
     const Instant latestStart = deadline - expectedRun;
     if (const std::optional<ErrorKind> kind = m_d->refusal(*account, latestStart, now)) {
         account->refused.count(*kind);
@@ -169,13 +169,13 @@
 {
     m_d->chargeOverruns(now);
     m_d->shedLate(now);
-    m_d->followDemand(now);
-    m_d->unparkDue(now);
+    m_d->smoothDemand(now);
+    m_d->endDueDeferrals(now);
     while (!m_d->order.empty()) {
         QueueAccount &account = *m_d->order.begin();
         QueueRequest &request = account.fifo.front();
         if (m_d->isLong(request) && !m_d->roomForLong(account)) {
-            m_d->park(account, now);
+            m_d->deferAccount(account, now);
             continue;
         }
         m_d->start(request, now);
@@ -231,9 +231,9 @@
         m_d->chargeRequest(request, m_d->cost.costOf(slotTime) - request.charged);
         --account.running;
         account.longRunning -= request.isLong ? 1 : 0;
-        m_d->unpark(account);
+        m_d->endDeferral(account);
         m_d->reorder(account);
-        m_d->noteInactive(account);
+        m_d->deactivateIfIdle(account);
     }
     m_d->requests.erase(found);
 }
@@ -251,11 +251,11 @@
 {
     const QueueAccount *account = m_d->find(index);
     if (account == nullptr) {
-        return ShortestRetryAfter;
+        return MinRetryAfter;
     }
-    const Duration wait = std::max({ account->rate.untilToken(now), m_d->expectedWait(*account), ShortestRetryAfter });
-    const double turn = static_cast<double>(account->refused.total()) * GoldenRatio;
-    return fromSeconds(toSeconds(wait) * (1 + RetrySpread * (turn - std::floor(turn))));
+    const Duration wait = std::max({ account->rate.untilToken(now), m_d->expectedWait(*account), MinRetryAfter });
+    const double spreadPosition = static_cast<double>(account->refused.total()) * GoldenRatio;
+    return fromSeconds(toSeconds(wait) * (1 + RetrySpread * (spreadPosition - std::floor(spreadPosition))));
 }
 
 AccountUsage FairQueue::usage(AccountIndex index) const
@@ -277,13 +277,13 @@
 
 std::vector<AccountDemand> FairQueue::takeDemand(Instant now)
 {
-    const double seconds = std::max(toSeconds(now - m_d->demandTaken), ShortestDemandInterval);
-    m_d->demandTaken = now;
+    const double seconds = std::max(toSeconds(now - m_d->demandTakenAt), MinDemandInterval);
+    m_d->demandTakenAt = now;
     std::vector<AccountDemand> demands;
-    for (auto at = m_d->touched.begin(); at != m_d->touched.end();) {
+    for (auto at = m_d->accountsWithDemand.begin(); at != m_d->accountsWithDemand.end();) {
         QueueAccount &account = *at;
         demands.push_back(account.takeDemand(seconds));
-        at = account.active() ? std::next(at) : m_d->touched.erase(at);
+        at = account.active() ? std::next(at) : m_d->accountsWithDemand.erase(at);
     }
     return demands;
 }
--- a/src/policy/fairqueueprivate.cpp
+++ b/src/policy/fairqueueprivate.cpp
@@ -12,16 +12,16 @@
 constexpr double LongFactor = 8;
 
 // Part of the unused slots that long requests may hold beyond their account's own part.
-constexpr double LargestBorrowedPart = 0.75;
+constexpr double MaxBorrowedShare = 0.75;
 
 // Over which demand is smoothed to tell what slots are left unused.
-constexpr double FollowSeconds = 2;
+constexpr double DemandSmoothingSeconds = 2;
 
 // What a part of a slot is rounded by.
-constexpr double Rounding = 0.5;
+constexpr double SlotRounding = 0.5;
 
-// How soon a parked account is looked at again.
-constexpr Duration ParkTime = Millis(20);
+// How soon a deferred account is looked at again.
+constexpr Duration DeferralTime = Millis(20);
 
 } // namespace
 
@@ -40,16 +40,16 @@
     return accounts[index];
 }
 
-void FairQueue::Private::touch(QueueAccount &account)
+void FairQueue::Private::addToDemand(QueueAccount &account)
 {
-    if (!account.touchedHook.is_linked()) {
-        touched.push_back(account);
+    if (!account.demandHook.is_linked()) {
+        accountsWithDemand.push_back(account);
     }
 }
 
-void FairQueue::Private::noteOffered(QueueAccount &account, Duration estimate)
+void FairQueue::Private::recordOffered(QueueAccount &account, Duration estimate)
 {
-    touch(account);
+    addToDemand(account);
     ++account.offered;
     account.offeredCost += static_cast<float>(toSeconds(estimate));
 }
@@ -105,16 +105,16 @@
     return std::nullopt;
 }
 
-void FairQueue::Private::advance(double reached)
+void FairQueue::Private::advanceVirtualTime(double reached)
 {
     virtualTime = std::max(virtualTime, reached);
 }
 
 // Nobody waits for anybody: whatever was used until now was free for the taking. All start level again; an account that
 // filled an idle service with long downloads would else be shut out for as long once others come.
-void FairQueue::Private::forgive()
+void FairQueue::Private::resetVirtualTimes()
 {
-    advance(largestVirtualTime);
+    advanceVirtualTime(largestVirtualTime);
     ++epoch;
 }
 
@@ -142,7 +142,7 @@
         return;
     }
     if (!account.mayStart()) {
-        leaveOrder(account);
+        removeFromOrder(account);
         return;
     }
     // Begins to compete: time spent idle, or held back by its own limit, earns nothing.
@@ -152,12 +152,12 @@
     order.insert(account);
 }
 
-void FairQueue::Private::leaveOrder(QueueAccount &account)
+void FairQueue::Private::removeFromOrder(QueueAccount &account)
 {
     order.erase(order.iterator_to(account));
     orderedWeight = order.empty() ? 0 : orderedWeight - account.weight;
     if (order.empty()) {
-        forgive();
+        resetVirtualTimes();
     }
 }
 
@@ -186,12 +186,12 @@
         running.insert(request);
     }
     if (order.empty()) {
-        forgive();
+        resetVirtualTimes();
     }
 }
 
 // To be called after an account's last request may have left.
-void FairQueue::Private::noteInactive(QueueAccount &account)
+void FairQueue::Private::deactivateIfIdle(QueueAccount &account)
 {
     if (!account.countedActive || account.active()) {
         return;
@@ -218,7 +218,7 @@
     waitingCost += toSeconds(estimate);
     if (!account.countedActive) {
         account.countedActive = true;
-        account.activeSince = demandFollowed;
+        account.activeSince = demandSmoothedAt;
         ++activeAccounts;
         activeWeight += account.weight;
     }
@@ -226,7 +226,7 @@
 }
 
 // Takes over a changed rate limit at the first request after the change, which brings the time along.
-void FairQueue::Private::applyRate(QueueAccount &account, Instant now) const
+void FairQueue::Private::applyRateLimit(QueueAccount &account, Instant now) const
 {
     if (account.rateApplied != account.rateLimit) {
         account.rateApplied = account.rateLimit;
@@ -255,14 +255,15 @@
         return true;
     }
     // The account's own weight is in recentWeight by as much as it was active itself.
-    const double active = toSeconds(demandFollowed - account.activeSince);
-    const double ownRecentWeight = account.weight * std::max(active, 0.0) / (std::max(active, 0.0) + FollowSeconds);
+    const double active = toSeconds(demandSmoothedAt - account.activeSince);
+    const double ownRecentWeight =
+        account.weight * std::max(active, 0.0) / (std::max(active, 0.0) + DemandSmoothingSeconds);
     const double othersWeight = std::max({ recentWeight - ownRecentWeight, activeWeight - account.weight, 0.0 });
     const double entitled = capacity * account.weight / (account.weight + othersWeight);
     const double others = shortWanted + static_cast<double>(longRunning - account.longRunning);
     const double unused = std::max(capacity - others - entitled, 0.0);
-    const double most = std::max(entitled + LargestBorrowedPart * unused, 1.0);
-    return account.longRunning + Rounding <= most;
+    const double maxLong = std::max(entitled + MaxBorrowedShare * unused, 1.0);
+    return account.longRunning + SlotRounding <= maxLong;
 }
 
 bool FairQueue::Private::isLong(const QueueRequest &request) const
@@ -271,11 +272,11 @@
     if (fleetTypicalCost > Duration::zero()) {
         typical = std::min(typical, fleetTypicalCost);
     }
-    return toSeconds(presentEstimate(request)) > LongFactor * toSeconds(typical);
+    return toSeconds(currentEstimate(request)) > LongFactor * toSeconds(typical);
 }
 
 // What the request is expected to cost by what was learnt while it waited.
-Duration FairQueue::Private::presentEstimate(const QueueRequest &request) const
+Duration FairQueue::Private::currentEstimate(const QueueRequest &request) const
 {
     return cost.estimate(request.account->index, request.route);
 }
@@ -283,52 +284,52 @@
 // Follows what the accounts want over time. What waits is counted as well as what runs: once long requests have taken
 // too much, few short ones can run, and their slots would seem to be unused. A moment in which nobody else asks for
 // anything must not count either.
-void FairQueue::Private::followDemand(Instant now)
+void FairQueue::Private::smoothDemand(Instant now)
 {
-    const double elapsed = std::max(toSeconds(now - demandFollowed), 0.0);
-    const double gain = elapsed / (elapsed + FollowSeconds);
+    const double elapsed = std::max(toSeconds(now - demandSmoothedAt), 0.0);
+    const double gain = elapsed / (elapsed + DemandSmoothingSeconds);
     const auto wanted = static_cast<double>(running.size() - longRunning + order.size());
     shortWanted += (wanted - shortWanted) * gain;
     recentWeight += (activeWeight - recentWeight) * gain;
-    demandFollowed = std::max(now, demandFollowed);
+    demandSmoothedAt = std::max(now, demandSmoothedAt);
 }
 
 // Takes an account out of the order until one of its requests ends or some time has passed.
-void FairQueue::Private::park(QueueAccount &account, Instant now)
+void FairQueue::Private::deferAccount(QueueAccount &account, Instant now)
 {
-    if (parked.empty()) {
-        unparkAt = now + ParkTime;
+    if (deferred.empty()) {
+        deferralEndsAt = now + DeferralTime;
     }
-    parked.push_back(account);
+    deferred.push_back(account);
     reorder(account);
 }
 
-void FairQueue::Private::unpark(QueueAccount &account)
+void FairQueue::Private::endDeferral(QueueAccount &account)
 {
-    if (account.parkedHook.is_linked()) {
-        parked.erase(parked.iterator_to(account));
+    if (account.deferralHook.is_linked()) {
+        deferred.erase(deferred.iterator_to(account));
         reorder(account);
     }
 }
 
-void FairQueue::Private::unparkDue(Instant now)
+void FairQueue::Private::endDueDeferrals(Instant now)
 {
-    while (now >= unparkAt && !parked.empty()) {
-        unpark(parked.front());
+    while (now >= deferralEndsAt && !deferred.empty()) {
+        endDeferral(deferred.front());
     }
 }
 
 void FairQueue::Private::start(QueueRequest &request, Instant now)
 {
     QueueAccount &account = *request.account;
-    advance(account.virtualTime);
+    advanceVirtualTime(account.virtualTime);
     unlinkWaiting(request);
     request.running = true;
     request.isLong = isLong(request);
     longRunning += request.isLong ? 1 : 0;
     account.longRunning += request.isLong ? 1 : 0;
     request.started = now;
-    chargeRequest(request, presentEstimate(request));
+    chargeRequest(request, currentEstimate(request));
     running.insert(request);
     ++account.running;
     ++account.started;
@@ -364,10 +365,10 @@
     QueueAccount &account = *request.account;
     unlinkWaiting(request);
     if (account.queued == 0) {
-        unpark(account);
+        endDeferral(account);
     }
     reorder(account);
-    noteInactive(account);
+    deactivateIfIdle(account);
     requests.erase(request.id);
 }
 
--- a/src/policy/fairqueueprivate.h
+++ b/src/policy/fairqueueprivate.h
@@ -90,8 +90,8 @@
     Refusals refused;
     RequestFifo fifo;
     TreeHook orderHook; // waits and may go next
-    ListHook touchedHook; // has demand to report
-    ListHook parkedHook; // next to start is a long request, for which there is no room
+    ListHook demandHook; // has demand to report
+    ListHook deferralHook; // next to start is a long request, for which there is no room
 
     // Returns true if the account has anything running or waiting.
     bool active() const
@@ -104,7 +104,7 @@
     {
         AccountDemand demand;
         demand.account = index;
-        demand.over = fromSeconds(seconds);
+        demand.interval = fromSeconds(seconds);
         demand.requestsPerSecond = offered / seconds;
         demand.slots = offeredCost / seconds;
         demand.running = running;
@@ -119,7 +119,7 @@
     // Returns true if the account has a waiting request that may start.
     bool mayStart() const
     {
-        return queued > 0 && !parkedHook.is_linked() && (inFlightLimit == 0 || running < inFlightLimit);
+        return queued > 0 && !deferralHook.is_linked() && (inFlightLimit == 0 || running < inFlightLimit);
     }
 };
 
@@ -131,8 +131,8 @@
 };
 
 using AccountOrder = HookedTree<QueueAccount, &QueueAccount::orderHook, LesserVirtualTime>;
-using TouchedAccounts = HookedList<QueueAccount, &QueueAccount::touchedHook>;
-using ParkedAccounts = HookedList<QueueAccount, &QueueAccount::parkedHook>;
+using AccountsWithDemand = HookedList<QueueAccount, &QueueAccount::demandHook>;
+using DeferredAccounts = HookedList<QueueAccount, &QueueAccount::deferralHook>;
 
 } // namespace mulberryplank::internal
 
@@ -150,8 +150,8 @@
     ~Private()
     {
         // Intrusive containers must be empty before the records that they link are destroyed.
-        touched.clear();
-        parked.clear();
+        accountsWithDemand.clear();
+        deferred.clear();
         order.clear();
         waiting.clear();
         running.clear();
@@ -165,35 +165,35 @@
 
     internal::QueueAccount *find(AccountIndex index);
     internal::QueueAccount &ensure(AccountIndex index);
-    void touch(internal::QueueAccount &account);
-    void noteOffered(internal::QueueAccount &account, Duration estimate);
+    void addToDemand(internal::QueueAccount &account);
+    void recordOffered(internal::QueueAccount &account, Duration estimate);
     std::uint32_t queueBound(const internal::QueueAccount &account) const;
     double slots() const;
     Duration expectedWait(const internal::QueueAccount &account) const;
     std::optional<ErrorKind> refusal(const internal::QueueAccount &account, Instant latestStart, Instant now) const;
-    void advance(double reached);
-    void forgive();
+    void advanceVirtualTime(double reached);
+    void resetVirtualTimes();
     void chargeRequest(internal::QueueRequest &request, Duration cost);
     void reorder(internal::QueueAccount &account);
-    void leaveOrder(internal::QueueAccount &account);
+    void removeFromOrder(internal::QueueAccount &account);
     void addCharge(internal::QueueAccount &account, double seconds);
     void chargeOverruns(Instant now);
     void unlinkWaiting(internal::QueueRequest &request);
     void start(internal::QueueRequest &request, Instant now);
     bool isLong(const internal::QueueRequest &request) const;
-    Duration presentEstimate(const internal::QueueRequest &request) const;
+    Duration currentEstimate(const internal::QueueRequest &request) const;
     bool roomForLong(const internal::QueueAccount &account) const;
-    void followDemand(Instant now);
-    void park(internal::QueueAccount &account, Instant now);
-    void unpark(internal::QueueAccount &account);
-    void unparkDue(Instant now);
+    void smoothDemand(Instant now);
+    void deferAccount(internal::QueueAccount &account, Instant now);
+    void endDeferral(internal::QueueAccount &account);
+    void endDueDeferrals(Instant now);
     void addWaiting(
         internal::QueueAccount &account, RequestId id, std::uint16_t route, Duration estimate, Instant latestStart);
     void dropWaiting(internal::QueueRequest &request);
     void shedLate(Instant now);
-    void applyRate(internal::QueueAccount &account, Instant now) const;
+    void applyRateLimit(internal::QueueAccount &account, Instant now) const;
     void setWeight(internal::QueueAccount &account, double weight);
-    void noteInactive(internal::QueueAccount &account);
+    void deactivateIfIdle(internal::QueueAccount &account);
 
     FairQueueSettings settings;
     CostModel cost;
@@ -207,20 +207,20 @@
     double activeWeight = 0; // of the accounts that run or wait
     double waitingCost = 0; // seconds of slot-time, estimated
     std::size_t activeAccounts = 0;
-    Instant demandTaken {};
+    Instant demandTakenAt {};
     std::deque<internal::QueueAccount> accounts; // by index; grows without moving its elements
     std::unordered_map<RequestId, internal::QueueRequest> requests;
     std::vector<RequestId> shed; // no longer waiting, and not yet returned by expired()
     internal::AccountOrder order; // accounts that may go next
     internal::WaitingRequests waiting;
     internal::RunningRequests running;
-    internal::TouchedAccounts touched;
-    internal::ParkedAccounts parked;
-    Instant unparkAt {};
+    internal::AccountsWithDemand accountsWithDemand;
+    internal::DeferredAccounts deferred;
+    Instant deferralEndsAt {};
     std::size_t longRunning = 0;
     double shortWanted = 0; // smoothed number of requests that are not long: those running, and accounts that wait
     double recentWeight = 0; // smoothed activeWeight
-    Instant demandFollowed {};
+    Instant demandSmoothedAt {};
 };
 
 } // namespace mulberryplank
--- a/src/policy/fairqueuetest.cpp
+++ b/src/policy/fairqueuetest.cpp
@@ -20,17 +20,17 @@
 const Instant Never = Start + Seconds(1'000'000);
 
 // Targets with a number of slots before one queue, on a virtual clock. Each account has its own service time.
-class Bench
+class SimulatedTargets
 {
 public:
-    explicit Bench(std::size_t slots, FairQueueSettings settings = {})
+    explicit SimulatedTargets(std::size_t slots, FairQueueSettings settings = {})
         : queue(settings)
         , m_slots(slots)
     {
     }
 
     // Starts requests while there is room.
-    void fill()
+    void startWaiting()
     {
         while (m_running.size() < m_slots) {
             const std::optional<RequestId> id = queue.next(now);
@@ -43,14 +43,14 @@
     }
 
     // Ends the request that ends first, and lets the clock reach that moment.
-    void endOne()
+    void finishNext()
     {
         const auto first = m_running.begin();
         now = first->first;
-        const auto [id, began] = first->second;
+        const auto [id, started] = first->second;
         m_running.erase(first);
-        queue.finished(id, now - began, now);
-        served[accountOf(id)] += toSeconds(now - began);
+        queue.finished(id, now - started, now);
+        served[accountOf(id)] += toSeconds(now - started);
     }
 
     // Offers one more request of the account.
@@ -76,17 +76,17 @@
     std::multimap<Instant, std::pair<RequestId, Instant>> m_running;
 };
 
-// Keeps at least one request of each account waiting until `until`.
-void runBacklogged(Bench &bench, const std::vector<AccountIndex> &accounts, Instant until)
+// Keeps at minWeight one request of each account waiting until `until`.
+void runBacklogged(SimulatedTargets &targets, const std::vector<AccountIndex> &accounts, Instant until)
 {
-    while (bench.now < until) {
+    while (targets.now < until) {
         for (const AccountIndex account : accounts) {
-            while (bench.queue.usage(account).queued < 2) {
-                CHECK_TRUE(bench.offer(account));
+            while (targets.queue.usage(account).queued < 2) {
+                CHECK_TRUE(targets.offer(account));
             }
         }
-        bench.fill();
-        bench.endOne();
+        targets.startWaiting();
+        targets.finishNext();
     }
 }
 
@@ -99,107 +99,107 @@
     CHECK_TRUE(rc::check("served slot-time over weight differs by a few requests at most", [] {
         const auto slots = *rc::gen::inRange<std::size_t>(1, 9);
         const auto count = *rc::gen::inRange<AccountIndex>(2, 7);
-        Bench bench(slots);
+        SimulatedTargets targets(slots);
         std::vector<AccountIndex> accounts;
         std::vector<double> weights;
-        double longest = 0;
-        double least = 1'000;
+        double maxCost = 0;
+        double minWeight = 1'000;
         for (AccountIndex account = 0; account < count; ++account) {
             const auto weight = *rc::gen::inRange<std::uint32_t>(1, 8);
-            bench.cost[account] = Millis(*rc::gen::inRange(1, 400)); // some costs lie far from the first estimate
-            longest = std::max(longest, toSeconds(bench.cost[account]));
-            least = std::min(least, static_cast<double>(weight));
+            targets.cost[account] = Millis(*rc::gen::inRange(1, 400)); // some costs lie far from the first estimate
+            maxCost = std::max(maxCost, toSeconds(targets.cost[account]));
+            minWeight = std::min(minWeight, static_cast<double>(weight));
             weights.push_back(weight);
-            bench.queue.setAccount(account, weight, {});
+            targets.queue.setAccount(account, weight, {});
             accounts.push_back(account);
         }
-        runBacklogged(bench, accounts, Start + Seconds(60));
+        runBacklogged(targets, accounts, Start + Seconds(60));
         double lowest = 1e9;
         double highest = 0;
         for (const AccountIndex account : accounts) {
-            const double perWeight = bench.served[account] / weights[account];
+            const double perWeight = targets.served[account] / weights[account];
             lowest = std::min(lowest, perWeight);
             highest = std::max(highest, perWeight);
         }
         // At each end of the interval an account may be off by what it runs, and by one overrun's charge.
-        const double bound = 2 * (static_cast<double>(slots) + 2) * longest / least;
+        const double bound = 2 * (static_cast<double>(slots) + 2) * maxCost / minWeight;
         RC_ASSERT(highest - lowest <= bound);
     }));
 }
 
 TEST(FairQueue, idleAccountComesBackWithNeitherCreditNorDebt)
 {
-    Bench bench(4);
+    SimulatedTargets targets(4);
     for (const AccountIndex account : { 0U, 1U, 2U }) {
-        bench.queue.setAccount(account, 1, {});
-        bench.cost[account] = Millis(20);
+        targets.queue.setAccount(account, 1, {});
+        targets.cost[account] = Millis(20);
     }
-    runBacklogged(bench, { 0, 1 }, Start + Seconds(100)); // account 2 is idle for 100 s
-    bench.served.clear();
-    runBacklogged(bench, { 0, 1, 2 }, bench.now + Seconds(3));
+    runBacklogged(targets, { 0, 1 }, Start + Seconds(100)); // account 2 is idle for 100 s
+    targets.served.clear();
+    runBacklogged(targets, { 0, 1, 2 }, targets.now + Seconds(3));
     const double even = 4.0 * 3 / 3;
     for (const AccountIndex account : { 0U, 1U, 2U }) {
-        DOUBLES_EQUAL(even, bench.served[account], 0.2);
+        DOUBLES_EQUAL(even, targets.served[account], 0.2);
     }
 }
 
 // Failure: an account that had the service to itself gets nothing for minutes once a second one arrives.
 TEST(FairQueue, useOfAnIdleServiceIsNotHeldAgainstAnAccount)
 {
-    Bench bench(4);
-    bench.queue.setAccount(0, 1, {});
-    bench.queue.setAccount(1, 1, {});
-    bench.cost[0] = Seconds(60);
-    bench.cost[1] = Millis(20);
+    SimulatedTargets targets(4);
+    targets.queue.setAccount(0, 1, {});
+    targets.queue.setAccount(1, 1, {});
+    targets.cost[0] = Seconds(60);
+    targets.cost[1] = Millis(20);
     for (int request = 0; request < 4; ++request) {
-        CHECK_TRUE(bench.offer(0));
-        bench.fill();
+        CHECK_TRUE(targets.offer(0));
+        targets.startWaiting();
     }
     for (int request = 0; request < 4; ++request) {
-        bench.endOne();
+        targets.finishNext();
     }
-    bench.cost[0] = Millis(20);
-    bench.served.clear();
-    runBacklogged(bench, { 0, 1 }, bench.now + Seconds(10));
-    DOUBLES_EQUAL(20, bench.served[0], 0.5);
-    DOUBLES_EQUAL(20, bench.served[1], 0.5);
+    targets.cost[0] = Millis(20);
+    targets.served.clear();
+    runBacklogged(targets, { 0, 1 }, targets.now + Seconds(10));
+    DOUBLES_EQUAL(20, targets.served[0], 0.5);
+    DOUBLES_EQUAL(20, targets.served[1], 0.5);
 }
 
 // Failure: an account with few huge requests holds almost every slot although another one waits.
 TEST(FairQueue, hugeRequestsAreChargedWhileTheyRun)
 {
-    Bench bench(8);
-    bench.queue.setAccount(0, 1, {});
-    bench.queue.setAccount(1, 1, {});
-    bench.cost[0] = Seconds(30);
-    bench.cost[1] = Millis(25);
-    runBacklogged(bench, { 0, 1 }, Start + Seconds(25)); // none of the huge ones has ended yet
-    CHECK_TRUE(bench.queue.usage(0).running <= 5);
-    CHECK_TRUE(bench.served[1] >= 0.99 * 25 * 3);
+    SimulatedTargets targets(8);
+    targets.queue.setAccount(0, 1, {});
+    targets.queue.setAccount(1, 1, {});
+    targets.cost[0] = Seconds(30);
+    targets.cost[1] = Millis(25);
+    runBacklogged(targets, { 0, 1 }, Start + Seconds(25)); // none of the huge ones has ended yet
+    CHECK_TRUE(targets.queue.usage(0).running <= 5);
+    CHECK_TRUE(targets.served[1] >= 0.99 * 25 * 3);
 }
 
 // Failure: small reads wait for seconds although their account uses less than its part.
 TEST(FairQueue, longRequestsLeaveSlotsThatShortOnesUseOverTime)
 {
-    Bench bench(10);
-    bench.queue.setCapacity(10);
+    SimulatedTargets targets(10);
+    targets.queue.setCapacity(10);
     for (const AccountIndex account : { 0U, 1U }) {
-        bench.queue.setAccount(account, 1, {});
+        targets.queue.setAccount(account, 1, {});
     }
-    bench.cost[0] = Seconds(20);
-    bench.cost[1] = Millis(20);
-    bench.offer(0); // teaches the queue what a download costs
-    bench.fill();
-    bench.endOne();
-    runBacklogged(bench, { 1 }, bench.now + Seconds(5));
-    while (bench.queue.running() > 0) {
-        bench.endOne(); // account 1 pauses
+    targets.cost[0] = Seconds(20);
+    targets.cost[1] = Millis(20);
+    targets.offer(0); // teaches the queue what a download costs
+    targets.startWaiting();
+    targets.finishNext();
+    runBacklogged(targets, { 1 }, targets.now + Seconds(5));
+    while (targets.queue.running() > 0) {
+        targets.finishNext(); // account 1 pauses
     }
     for (int request = 0; request < 20; ++request) {
-        bench.offer(0);
+        targets.offer(0);
     }
-    bench.fill();
-    LONGS_EQUAL(5, bench.queue.usage(0).running); // its half of the slots
+    targets.startWaiting();
+    LONGS_EQUAL(5, targets.queue.usage(0).running); // its half of the slots
 }
 
 TEST(FairQueue, requestsAreEitherStartedOrRefusedNeverBoth)
@@ -273,19 +273,19 @@
         const auto inFlight = *rc::gen::inRange<std::uint32_t>(1, 6);
         const auto queued = *rc::gen::inRange<std::uint32_t>(1, 6);
         const auto arrivals = *rc::gen::container<std::vector<bool>>(100, rc::gen::arbitrary<bool>());
-        Bench bench(50);
-        bench.queue.setAccount(0, 1, Limits { 0, inFlight, queued });
-        bench.cost[0] = Millis(30);
+        SimulatedTargets targets(50);
+        targets.queue.setAccount(0, 1, Limits { 0, inFlight, queued });
+        targets.cost[0] = Millis(30);
         for (const bool arrives : arrivals) {
             if (arrives) {
-                bench.offer(0);
-                bench.fill();
-            } else if (bench.queue.running() > 0) {
-                bench.endOne();
-                bench.fill();
+                targets.offer(0);
+                targets.startWaiting();
+            } else if (targets.queue.running() > 0) {
+                targets.finishNext();
+                targets.startWaiting();
             }
-            RC_ASSERT(bench.queue.usage(0).running <= inFlight);
-            RC_ASSERT(bench.queue.usage(0).queued <= queued);
+            RC_ASSERT(targets.queue.usage(0).running <= inFlight);
+            RC_ASSERT(targets.queue.usage(0).queued <= queued);
         }
     }));
 }
@@ -293,52 +293,52 @@
 // Failure: after a spell of slow answers every request is refused, for good, although the targets are well again.
 TEST(FairQueue, slowSpellDoesNotRefuseEverythingAfterwards)
 {
-    Bench bench(1);
-    bench.queue.setAccount(0, 1, {});
-    bench.cost[0] = Seconds(60);
+    SimulatedTargets targets(1);
+    targets.queue.setAccount(0, 1, {});
+    targets.cost[0] = Seconds(60);
     for (int request = 0; request < 30; ++request) {
-        CHECK_TRUE(bench.offer(0));
-        bench.fill();
-        bench.endOne();
+        CHECK_TRUE(targets.offer(0));
+        targets.startWaiting();
+        targets.finishNext();
     }
-    CHECK_TRUE(bench.offer(0, bench.now + Seconds(10)));
-    CHECK_TRUE(bench.queue.next(bench.now).has_value());
+    CHECK_TRUE(targets.offer(0, targets.now + Seconds(10)));
+    CHECK_TRUE(targets.queue.next(targets.now).has_value());
 }
 
 TEST(FairQueue, requestThatCannotBeStartedInTimeIsRefusedOnArrivalOrShedBeforeItsDeadline)
 {
-    Bench bench(1);
-    bench.queue.setAccount(0, 1, {});
-    bench.cost[0] = Millis(25);
-    CHECK_TRUE(bench.offer(0));
-    bench.fill();
+    SimulatedTargets targets(1);
+    targets.queue.setAccount(0, 1, {});
+    targets.cost[0] = Millis(25);
+    CHECK_TRUE(targets.offer(0));
+    targets.startWaiting();
     for (int request = 0; request < 8; ++request) {
-        CHECK_TRUE(bench.offer(0));
+        CHECK_TRUE(targets.offer(0));
     }
     // 8 requests of 25 ms wait before one slot.
-    CHECK_FALSE(bench.offer(0, bench.now + Millis(150)));
-    LONGS_EQUAL(1, bench.queue.usage(0).refused.deadlineBeforeStart);
-    CHECK_TRUE(bench.queue.retryAfter(0, bench.now) >= Millis(150));
+    CHECK_FALSE(targets.offer(0, targets.now + Millis(150)));
+    LONGS_EQUAL(1, targets.queue.usage(0).refused.deadlineBeforeStart);
+    CHECK_TRUE(targets.queue.retryAfter(0, targets.now) >= Millis(150));
     // This one might have made it, if the running one had ended in time.
-    CHECK_TRUE(bench.offer(0, bench.now + Millis(300)));
-    bench.now += Millis(290);
-    LONGS_EQUAL(1, bench.queue.expired(bench.now).size());
-    LONGS_EQUAL(1, bench.queue.usage(0).refused.expired);
+    CHECK_TRUE(targets.offer(0, targets.now + Millis(300)));
+    targets.now += Millis(290);
+    LONGS_EQUAL(1, targets.queue.expired(targets.now).size());
+    LONGS_EQUAL(1, targets.queue.usage(0).refused.expired);
 }
 
 TEST(FairQueue, rateLimitHoldsOverAnySecondAndSaysWhenToComeAgain)
 {
-    Bench bench(1'000);
-    bench.queue.setAccount(0, 1, Limits { 100, 0, 0 });
-    bench.cost[0] = Millis(1);
+    SimulatedTargets targets(1'000);
+    targets.queue.setAccount(0, 1, Limits { 100, 0, 0 });
+    targets.cost[0] = Millis(1);
     int admitted = 0;
     for (int millis = 0; millis < 1'000; ++millis) {
-        bench.now = Start + Millis(millis);
-        admitted += bench.offer(0) ? 1 : 0;
-        admitted += bench.offer(0) ? 1 : 0;
-        bench.fill();
+        targets.now = Start + Millis(millis);
+        admitted += targets.offer(0) ? 1 : 0;
+        admitted += targets.offer(0) ? 1 : 0;
+        targets.startWaiting();
     }
     const double burst = 5;
     CHECK_TRUE(admitted >= 99 && admitted <= 100 + burst);
-    CHECK_TRUE(bench.queue.retryAfter(0, bench.now) > Duration::zero());
+    CHECK_TRUE(targets.queue.retryAfter(0, targets.now) > Duration::zero());
 }
--- a/src/policy/fleetclaims.cpp
+++ b/src/policy/fleetclaims.cpp
@@ -12,7 +12,7 @@
 {
 
 // A claim is moved only if it is off by more than this part of what is wanted: demand never stands quite still.
-constexpr double ClaimSlack = 0.02;
+constexpr double ClaimTolerance = 0.02;
 
 // Rounding must not refuse claims that add up exactly.
 constexpr double SumTolerance = 1e-9;
@@ -28,7 +28,7 @@
            });
 }
 
-void FleetShares::Private::giveUp()
+void FleetShares::Private::releaseClaims()
 {
     evenPartsClaimed = false;
     evenPartsSequence = 0;
@@ -45,7 +45,7 @@
 // claim, from where they follow demand.
 void FleetShares::Private::claimEvenParts(Instant now)
 {
-    const bool possible = peers.isMember(settings.self) && !peers.declaredSilentByPeer(now);
+    const bool possible = peers.isMember(settings.self) && !peers.markedUnresponsiveByPeer(now);
     if (evenPartsClaimed || !possible) {
         return;
     }
@@ -64,7 +64,7 @@
     if (found != named.end()) {
         return &found->second;
     }
-    if (named.size() >= settings.mostAccounts || !rows.contains(index)) {
+    if (named.size() >= settings.maxAccounts || !rows.contains(index)) {
         return nullptr;
     }
     NamedAccount &account = named[index];
@@ -92,17 +92,17 @@
     }
 }
 
-void FleetShares::Private::moveClaims(Instant now)
+void FleetShares::Private::adjustClaims(Instant now)
 {
     for (auto &[index, account] : named) {
         for (std::size_t kind = 0; kind < LimitKinds; ++kind) {
-            moveClaim(index, account, kind, now);
+            adjustClaim(index, account, kind, now);
         }
     }
 }
 
 // Lowers a claim at once, or raises it for the others to acknowledge.
-void FleetShares::Private::moveClaim(AccountIndex index, NamedAccount &account, std::size_t kind, Instant now)
+void FleetShares::Private::adjustClaim(AccountIndex index, NamedAccount &account, std::size_t kind, Instant now)
 {
     const LimitParts split = parts(index, kind);
     if (split.pool <= 0 || !evenPartsClaimed) {
@@ -115,11 +115,11 @@
     // Requests in flight can't be taken back: the claim covers them until they end, while no new ones are let in.
     const double needed = std::max(wanted, account.inUse.at(kind) - split.fixed);
     const double even = evenPart(kind, split.pool, peers.memberCount());
-    const double slack = kind == RateKind && wanted > 0 ? ClaimSlack * std::min(even, wanted) : 0;
-    if (wanted + slack < usable) {
+    const double tolerance = kind == RateKind && wanted > 0 ? ClaimTolerance * std::min(even, wanted) : 0;
+    if (wanted + tolerance < usable) {
         usable = wanted;
     }
-    if (needed + slack < claimed) {
+    if (needed + tolerance < claimed) {
         claimed = std::max(needed, usable);
         contentChanged = true;
     }
@@ -127,15 +127,15 @@
     if (free) {
         usable = std::max(usable, std::min(wanted, claimed)); // a claim that nobody contests any more
     }
-    const double most = std::min(wanted, split.pool - othersClaims(index, kind, split.pool, now));
-    if (free && most > claimed + slack) {
-        claimed = most;
+    const double maxClaim = std::min(wanted, split.pool - othersClaims(index, kind, split.pool, now));
+    if (free && maxClaim > claimed + tolerance) {
+        claimed = maxClaim;
         pending = sequence + 1;
         contentChanged = true;
     }
 }
 
-bool FleetShares::Private::anythingPending() const
+bool FleetShares::Private::hasPendingClaims() const
 {
     return evenPartsSequence != 0 || std::any_of(named.begin(), named.end(), [](const auto &entry) {
                return entry.second.claimSequence != std::array<std::uint64_t, LimitKinds> {};
@@ -145,7 +145,7 @@
 // Uses raised claims once all have acknowledged them.
 void FleetShares::Private::confirmClaims(Instant now)
 {
-    if (!anythingPending()) {
+    if (!hasPendingClaims()) {
         return;
     }
     const std::uint64_t acknowledged = std::min(peers.acknowledgedByAll(now), sequence);
@@ -165,7 +165,7 @@
         }
     }
     // Accounts that others name and we don't, for lack of room, might be claimed beyond even parts.
-    const bool roomLeft = named.size() < settings.mostAccounts;
+    const bool roomLeft = named.size() < settings.maxAccounts;
     if (evenPartsSequence != 0 && evenPartsSequence <= acknowledged && roomLeft && peers.evenPartIsFree(now)) {
         evenPartsSequence = 0;
         evenPartsUsable = peers.memberCount();
@@ -188,14 +188,14 @@
 }
 
 // Drops accounts that nobody asks for and whose claims are back at even parts.
-void FleetShares::Private::forgetQuiet()
+void FleetShares::Private::forgetIdleAccounts()
 {
     std::erase_if(named, [this](const auto &entry) {
         const auto &[index, account] = entry;
         if (!rows.contains(index)) {
             return true;
         }
-        if (account.slots > 0 || account.wanted != ShareAmounts {} || somebodyWants(index)) {
+        if (account.slots > 0 || account.wanted != ShareAmounts {} || isWantedByPeer(index)) {
             return false;
         }
         for (std::size_t kind = 0; kind < LimitKinds; ++kind) {
--- a/src/policy/fleetpeers.cpp
+++ b/src/policy/fleetpeers.cpp
@@ -14,7 +14,7 @@
 {
 
 // A given-up peer is remembered for this many silences, so that it can't come back with its old claims.
-constexpr int RememberedSilences = 10;
+constexpr int RememberedTimeouts = 10;
 
 bool isMajority(std::size_t part, std::size_t whole)
 {
@@ -110,12 +110,12 @@
             FleetPeer &peer = m_peers.emplace_back();
             peer.vm = member;
             peer.known = now;
-            peer.lastHeard = now;
+            peer.lastReceived = now;
         }
     }
 }
 
-void FleetPeers::noteSent(std::uint64_t sequence, Instant now)
+void FleetPeers::recordSent(std::uint64_t sequence, Instant now)
 {
     m_sent.emplace_back(sequence, now);
     while (m_sent.front().second + m_settings.lease < now) {
@@ -135,15 +135,15 @@
         peer->incarnation = incarnation;
         peer->known = now;
     }
-    if (report.sequence <= peer->heardSequence) {
+    if (report.sequence <= peer->receivedSequence) {
         return nullptr;
     }
-    peer->lastHeard = now;
+    peer->lastReceived = now;
     if (!report.complete && report.contentSequence != peer->last.contentSequence) {
         // The report that this one refers to was lost. Not acknowledging it makes the sender repeat all accounts.
         return nullptr;
     }
-    peer->heardSequence = report.sequence;
+    peer->receivedSequence = report.sequence;
     peer->last = report;
     peer->last.accounts.clear();
     if (report.complete) {
@@ -152,8 +152,8 @@
     for (const AccountReport &account : report.accounts) {
         peer->accounts.emplace(account.account.value(), account);
     }
-    if (peer->silent && !peer->claimsAnything()) {
-        peer->silent = false;
+    if (peer->unresponsive && !peer->claimsAnything()) {
+        peer->unresponsive = false;
     }
     readAcknowledgement(*peer);
     return peer;
@@ -161,8 +161,8 @@
 
 void FleetPeers::readAcknowledgement(FleetPeer &peer)
 {
-    for (const PeerHeard &entry : peer.last.heard) {
-        if (entry.vm != m_settings.self || entry.incarnation != m_settings.incarnation || entry.silent) {
+    for (const PeerStatus &entry : peer.last.peerStatus) {
+        if (entry.vm != m_settings.self || entry.incarnation != m_settings.incarnation || entry.unresponsive) {
             continue;
         }
         const auto sent = std::find_if(m_sent.begin(), m_sent.end(), [&entry](const auto &candidate) {
@@ -170,61 +170,61 @@
         });
         if (sent != m_sent.end() && entry.sequence >= peer.acknowledged) {
             peer.acknowledged = entry.sequence;
-            peer.acknowledgedSent = sent->second;
+            peer.acknowledgedSentAt = sent->second;
         }
     }
 }
 
-void FleetPeers::declareSilence(Instant now)
+void FleetPeers::markUnresponsive(Instant now)
 {
     for (FleetPeer &peer : m_peers) {
-        peer.silent = peer.silent || now - peer.lastHeard >= m_settings.silence;
-        peer.trusted = peer.trusted || now - peer.known >= m_settings.silence;
+        peer.unresponsive = peer.unresponsive || now - peer.lastReceived >= m_settings.silenceTimeout;
+        peer.trusted = peer.trusted || now - peer.known >= m_settings.silenceTimeout;
     }
     std::erase_if(m_peers, [this, now](const FleetPeer &peer) {
         const bool replaced =
             peer.incarnation != 0 && std::any_of(m_peers.begin(), m_peers.end(), [&peer](const FleetPeer &other) {
                 return other.vm == peer.vm && other.known > peer.known;
             });
-        const bool longGone = now - peer.lastHeard >= RememberedSilences * m_settings.silence;
-        return longGone && (replaced || !isMember(peer.vm)) && givenUp(peer, now);
+        const bool expired = now - peer.lastReceived >= RememberedTimeouts * m_settings.silenceTimeout;
+        return expired && (replaced || !isMember(peer.vm)) && claimsReleased(peer, now);
     });
-    settle(now);
+    updateSettledMembers(now);
 }
 
 // A part of the fleet that lost sight of the others would soon find itself the majority of the members that it still
-// knows. So a new list of members counts only once a majority of the earlier one was heard as well, or after a grace
-// that is longer than most partitions.
-void FleetPeers::settle(Instant now)
+// knows. So a new list of members counts only once a majority of the earlier one was peerStatus as well, or after a
+// grace that is longer than most partitions.
+void FleetPeers::updateSettledMembers(Instant now)
 {
-    const bool overlaps = m_settledMembers.empty() || hears(m_settledMembers, now);
-    if ((overlaps && hears(m_members, now)) || now - m_unsettledSince >= m_settings.partitionGrace) {
+    const bool overlaps = m_settledMembers.empty() || receivesFromMajority(m_settledMembers, now);
+    if ((overlaps && receivesFromMajority(m_members, now)) || now - m_unsettledSince >= m_settings.partitionGrace) {
         m_settledMembers = m_members;
         m_unsettledSince = now;
     }
 }
 
-bool FleetPeers::hears(const std::vector<VmName> &members, Instant now) const
+bool FleetPeers::receivesFromMajority(const std::vector<VmName> &members, Instant now) const
 {
-    std::size_t heard = 0;
+    std::size_t peerStatus = 0;
     for (const VmName &member : members) {
         const bool fresh = std::any_of(m_peers.begin(), m_peers.end(), [&](const FleetPeer &peer) {
-            return peer.vm == member && peer.incarnation != 0 && peer.lastHeard + m_settings.lease > now;
+            return peer.vm == member && peer.incarnation != 0 && peer.lastReceived + m_settings.lease > now;
         });
-        heard += fresh || member == m_settings.self ? 1 : 0;
+        peerStatus += fresh || member == m_settings.self ? 1 : 0;
     }
-    return isMajority(heard, members.size());
+    return isMajority(peerStatus, members.size());
 }
 
 bool FleetPeers::linked(const FleetPeer &peer, Instant now) const
 {
-    return peer.acknowledged > 0 && peer.acknowledgedSent + m_settings.lease > now
-           && peer.lastHeard + m_settings.lease > now;
+    return peer.acknowledged > 0 && peer.acknowledgedSentAt + m_settings.lease > now
+           && peer.lastReceived + m_settings.lease > now;
 }
 
 // Each VM has one voice, that of its newest process: a predecessor that was only paused must not make up a majority
 // together with its own successor.
-bool FleetPeers::speaksFor(const FleetPeer &peer, const VmName &vm) const
+bool FleetPeers::isNewestProcessOf(const FleetPeer &peer, const VmName &vm) const
 {
     return peer.vm == vm && std::none_of(m_peers.begin(), m_peers.end(), [&peer](const FleetPeer &other) {
                return other.vm == peer.vm && other.known > peer.known;
@@ -244,7 +244,7 @@
     for (const VmName &member : members) {
         const bool isLinked =
             member != m_settings.self && std::any_of(m_peers.begin(), m_peers.end(), [&](const FleetPeer &peer) {
-                return peer.trusted && linked(peer, now) && speaksFor(peer, member);
+                return peer.trusted && linked(peer, now) && isNewestProcessOf(peer, member);
             });
         count += isLinked ? 1 : 0;
     }
@@ -253,7 +253,7 @@
 
 bool FleetPeers::connected(Instant now) const
 {
-    const bool settled = m_settledMembers.empty() || hears(m_settledMembers, now);
+    const bool settled = m_settledMembers.empty() || receivesFromMajority(m_settledMembers, now);
     return settled && isMember(m_settings.self) && isMajority(linkedMembers(m_members, now), m_members.size());
 }
 
@@ -265,7 +265,7 @@
     std::vector<Instant> ends;
     for (const FleetPeer &peer : m_peers) {
         if (peer.trusted && peer.acknowledged > 0 && isMember(peer.vm)) {
-            ends.push_back(std::min(peer.acknowledgedSent, peer.lastHeard) + m_settings.lease);
+            ends.push_back(std::min(peer.acknowledgedSentAt, peer.lastReceived) + m_settings.lease);
         }
     }
     const std::size_t needed = m_members.size() / 2; // besides ourselves
@@ -276,57 +276,57 @@
     return ends[needed - 1];
 }
 
-bool FleetPeers::givenUp(const FleetPeer &peer, Instant now) const
+bool FleetPeers::claimsReleased(const FleetPeer &peer, Instant now) const
 {
     if (peer.last.leaving) {
         return true;
     }
-    if (!peer.silent) {
+    if (!peer.unresponsive) {
         return false;
     }
-    const auto saysSo = [&](const FleetPeer &other, const VmName &member) {
-        const auto &entries = other.last.heard;
-        return linked(other, now) && speaksFor(other, member)
-               && std::any_of(entries.begin(), entries.end(), [&peer](const PeerHeard &entry) {
-                      return entry.vm == peer.vm && entry.incarnation == peer.incarnation && entry.silent;
+    const auto confirms = [&](const FleetPeer &other, const VmName &member) {
+        const auto &entries = other.last.peerStatus;
+        return linked(other, now) && isNewestProcessOf(other, member)
+               && std::any_of(entries.begin(), entries.end(), [&peer](const PeerStatus &entry) {
+                      return entry.vm == peer.vm && entry.incarnation == peer.incarnation && entry.unresponsive;
                   });
     };
-    std::size_t sayingSo = isMember(m_settings.self) ? 1 : 0;
+    std::size_t confirmations = isMember(m_settings.self) ? 1 : 0;
     for (const VmName &member : m_members) {
-        const bool says =
+        const bool confirmed =
             member != m_settings.self && std::any_of(m_peers.begin(), m_peers.end(), [&](const FleetPeer &other) {
-                return saysSo(other, member);
+                return confirms(other, member);
             });
-        sayingSo += says ? 1 : 0;
+        confirmations += confirmed ? 1 : 0;
     }
-    return isMajority(sayingSo, m_members.size());
+    return isMajority(confirmations, m_members.size());
 }
 
 // A process that has just started doesn't know of claims whose holders it can't hear, such as its own predecessor's.
-bool FleetPeers::claimsUnknownToUs(Instant now) const
+bool FleetPeers::hasUnknownClaims(Instant now) const
 {
-    const auto known = [this](const PeerHeard &entry) {
+    const auto known = [this](const PeerStatus &entry) {
         const bool self = entry.vm == m_settings.self && entry.incarnation == m_settings.incarnation;
         return self || std::any_of(m_peers.begin(), m_peers.end(), [&entry](const FleetPeer &peer) {
                    return peer.vm == entry.vm && peer.incarnation == entry.incarnation;
                });
     };
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const FleetPeer &peer) {
-        const auto &entries = peer.last.heard;
-        return linked(peer, now) && !std::all_of(entries.begin(), entries.end(), [&](const PeerHeard &entry) {
-                   return entry.silent || entry.incarnation == 0 || known(entry);
+        const auto &entries = peer.last.peerStatus;
+        return linked(peer, now) && !std::all_of(entries.begin(), entries.end(), [&](const PeerStatus &entry) {
+                   return entry.unresponsive || entry.incarnation == 0 || known(entry);
                });
     });
 }
 
 std::uint64_t FleetPeers::acknowledgedByAll(Instant now) const
 {
-    if (claimsUnknownToUs(now)) {
+    if (hasUnknownClaims(now)) {
         return 0;
     }
     std::uint64_t sequence = std::numeric_limits<std::uint64_t>::max();
     for (const FleetPeer &peer : m_peers) {
-        if (givenUp(peer, now)) {
+        if (claimsReleased(peer, now)) {
             continue;
         }
         if (!linked(peer, now) || peer.last.membersDigest != m_membersDigest) {
@@ -342,45 +342,45 @@
     constexpr double Tolerance = 1e-9;
     double claimed = 1.0 / std::max(memberCount(), 1U);
     for (const FleetPeer &peer : m_peers) {
-        if (peer.last.claimsEvenParts && !givenUp(peer, now)) {
+        if (peer.last.claimsEvenParts && !claimsReleased(peer, now)) {
             claimed += 1.0 / std::max(peer.last.memberCount, 1U);
         }
     }
     return claimed <= 1 + Tolerance;
 }
 
-bool FleetPeers::heardPeersAcknowledged(std::uint64_t sequence, Instant now) const
+bool FleetPeers::reachablePeersAcknowledged(std::uint64_t sequence, Instant now) const
 {
     return std::all_of(m_peers.begin(), m_peers.end(), [&](const FleetPeer &peer) {
-        const bool fresh = peer.incarnation != 0 && peer.lastHeard + m_settings.lease > now;
+        const bool fresh = peer.incarnation != 0 && peer.lastReceived + m_settings.lease > now;
         return !fresh || peer.last.leaving || peer.acknowledged >= sequence;
     });
 }
 
-bool FleetPeers::declaredSilentByPeer(Instant now) const
+bool FleetPeers::markedUnresponsiveByPeer(Instant now) const
 {
     return std::any_of(m_peers.begin(), m_peers.end(), [&](const FleetPeer &peer) {
-        const auto &entries = peer.last.heard;
-        const bool fresh = peer.lastHeard + m_settings.lease > now;
-        return fresh && std::any_of(entries.begin(), entries.end(), [this](const PeerHeard &entry) {
+        const auto &entries = peer.last.peerStatus;
+        const bool fresh = peer.lastReceived + m_settings.lease > now;
+        return fresh && std::any_of(entries.begin(), entries.end(), [this](const PeerStatus &entry) {
                    const bool own = entry.vm == m_settings.self && entry.incarnation == m_settings.incarnation;
-                   return own && entry.silent && !m_sent.empty() && entry.sequence >= m_sent.front().first;
+                   return own && entry.unresponsive && !m_sent.empty() && entry.sequence >= m_sent.front().first;
                });
     });
 }
 
-std::vector<PeerHeard> FleetPeers::heard(Instant now) const
+std::vector<PeerStatus> FleetPeers::peerStatus(Instant now) const
 {
-    // Who hears no majority of the members that it was last sure of acknowledges nothing: the part of the fleet that it
-    // sees may be the smaller one.
-    const bool mayAcknowledge = m_settledMembers.empty() || hears(m_settledMembers, now);
-    std::vector<PeerHeard> entries;
+    // Who receivesFromMajority no majority of the members that it was last sure of acknowledges nothing: the part of
+    // the fleet that it sees may be the smaller one.
+    const bool mayAcknowledge = m_settledMembers.empty() || receivesFromMajority(m_settledMembers, now);
+    std::vector<PeerStatus> entries;
     for (const FleetPeer &peer : m_peers) {
         if (peer.last.leaving) {
             continue;
         }
-        const bool shown = peer.silent || mayAcknowledge;
-        entries.push_back({ peer.vm, peer.incarnation, shown ? peer.heardSequence : 0, peer.silent });
+        const bool shown = peer.unresponsive || mayAcknowledge;
+        entries.push_back({ peer.vm, peer.incarnation, shown ? peer.receivedSequence : 0, peer.unresponsive });
     }
     return entries;
 }
--- a/src/policy/fleetpeers.h
+++ b/src/policy/fleetpeers.h
@@ -12,13 +12,13 @@
 // What is known of one incarnation of another member.
 struct FleetPeer {
     VmName vm;
-    Incarnation incarnation = 0; // 0: a member that was never heard from
+    Incarnation incarnation = 0; // 0: a member that was never peerStatus from
     Instant known {}; // since when
-    Instant lastHeard {};
-    std::uint64_t heardSequence = 0;
+    Instant lastReceived {};
+    std::uint64_t receivedSequence = 0;
     std::uint64_t acknowledged = 0; // the last of our reports that it acknowledged
-    Instant acknowledgedSent {}; // when we sent that one
-    bool silent = false; // declared so by us
+    Instant acknowledgedSentAt {}; // when we sent that one
+    bool unresponsive = false; // declared so by us
     bool trusted = false; // its acknowledgements keep our claims alive
     DemandReport last; // without its accounts
     std::unordered_map<std::string, AccountReport> accounts; // also after a report that left them out
@@ -34,20 +34,21 @@
 // that count requests.
 double evenPart(std::size_t kind, double pool, std::uint32_t members);
 
-// Who carries the service, who of them can be heard, and whose claims still count. Keeps time by the local clock only.
+// Who carries the service, who of them can be peerStatus, and whose claims still count. Keeps time by the local clock
+// only.
 class FleetPeers
 {
 public:
     explicit FleetPeers(const FleetSharesSettings &settings, Instant now);
 
     void setMembers(std::vector<VmName> members, Instant now);
-    void noteSent(std::uint64_t sequence, Instant now);
+    void recordSent(std::uint64_t sequence, Instant now);
 
     // Takes in a report and returns its sender, or nullptr if the report is older than what is known.
     const FleetPeer *merge(const VmName &from, Incarnation incarnation, const DemandReport &report, Instant now);
 
-    // Declares those silent that were not heard from for too long, and forgets those long given up.
-    void declareSilence(Instant now);
+    // Declares those unresponsive that were not peerStatus from for too long, and forgets those long given up.
+    void markUnresponsive(Instant now);
 
     // Lets acknowledgements of all peers that acknowledge us now keep our claims alive.
     void trustLinked(Instant now);
@@ -67,17 +68,18 @@
     // the predecessor of a process that was replaced may still be alive.
     bool evenPartIsFree(Instant now) const;
 
-    // Returns true if a peer that hears us now has declared us silent: it waits for us to give up our claims.
-    bool declaredSilentByPeer(Instant now) const;
+    // Returns true if a peer that receivesFromMajority us now has declared us unresponsive: it waits for us to give up
+    // our claims.
+    bool markedUnresponsiveByPeer(Instant now) const;
 
     // Returns true if this peer's claims no longer count.
-    bool givenUp(const FleetPeer &peer, Instant now) const;
+    bool claimsReleased(const FleetPeer &peer, Instant now) const;
 
-    // Returns true if the peers that are heard have all acknowledged `sequence`.
-    bool heardPeersAcknowledged(std::uint64_t sequence, Instant now) const;
+    // Returns true if the peers that are peerStatus have all acknowledged `sequence`.
+    bool reachablePeersAcknowledged(std::uint64_t sequence, Instant now) const;
 
-    // Returns what we heard, for our report.
-    std::vector<PeerHeard> heard(Instant now) const;
+    // Returns what we peerStatus, for our report.
+    std::vector<PeerStatus> peerStatus(Instant now) const;
 
     const std::list<FleetPeer> &peers() const
     {
@@ -99,16 +101,16 @@
 private:
     FleetPeer *find(const VmName &vm, Incarnation incarnation);
     bool linked(const FleetPeer &peer, Instant now) const;
-    bool speaksFor(const FleetPeer &peer, const VmName &vm) const;
-    bool hears(const std::vector<VmName> &members, Instant now) const;
+    bool isNewestProcessOf(const FleetPeer &peer, const VmName &vm) const;
+    bool receivesFromMajority(const std::vector<VmName> &members, Instant now) const;
     std::size_t linkedMembers(const std::vector<VmName> &members, Instant now) const;
     void readAcknowledgement(FleetPeer &peer);
-    void settle(Instant now);
-    bool claimsUnknownToUs(Instant now) const;
+    void updateSettledMembers(Instant now);
+    bool hasUnknownClaims(Instant now) const;
 
     FleetSharesSettings m_settings;
     std::vector<VmName> m_members; // sorted
-    std::vector<VmName> m_settledMembers; // the last ones of which a majority was heard
+    std::vector<VmName> m_settledMembers; // the last ones of which a majority was peerStatus
     Instant m_unsettledSince {};
     std::uint64_t m_membersDigest = 0;
     std::list<FleetPeer> m_peers;
--- a/src/policy/fleetseeds.cpp
+++ b/src/policy/fleetseeds.cpp
@@ -18,7 +18,7 @@
     return member.vm == vm && member.status != MemberStatus::Dead;
 }
 
-bool mayBeSeed(const Member &member)
+bool isSeedCandidate(const Member &member)
 {
     return member.status == MemberStatus::Alive || member.status == MemberStatus::Suspect;
 }
@@ -27,21 +27,22 @@
 
 } // namespace internal
 
-bool isAmongStrongest(const std::vector<Member> &members, Incarnation self, std::size_t perDomain)
+bool isAmongTopRanked(const std::vector<Member> &members, Incarnation self, std::size_t perDomain)
 {
     const auto own = std::find_if(members.begin(), members.end(), [self](const Member &member) {
         return member.incarnation == self;
     });
-    if (own == members.end() || !internal::mayBeSeed(*own)) {
+    if (own == members.end() || !internal::isSeedCandidate(*own)) {
         return false;
     }
     const auto before = std::count_if(members.begin(), members.end(), [&own](const Member &member) {
-        return member.failureDomain == own->failureDomain && internal::mayBeSeed(member) && ranksBefore(member, *own);
+        return member.failureDomain == own->failureDomain && internal::isSeedCandidate(member)
+               && ranksBefore(member, *own);
     });
     return static_cast<std::size_t>(before) < perDomain;
 }
 
-std::optional<Member> readerOf(const std::vector<Member> &members, const FailureDomain &domain)
+std::optional<Member> designatedReader(const std::vector<Member> &members, const FailureDomain &domain)
 {
     const Member *reader = nullptr;
     for (const Member &member : members) {
@@ -53,21 +54,21 @@
     return reader == nullptr ? std::nullopt : std::optional(*reader);
 }
 
-std::vector<VmName> abandonedSeeds(const std::vector<FleetSeed> &seeds, const std::vector<Member> &members)
+std::vector<VmName> staleSeeds(const std::vector<FleetSeed> &seeds, const std::vector<Member> &members)
 {
-    std::vector<VmName> abandoned;
+    std::vector<VmName> stale;
     for (const FleetSeed &seed : seeds) {
         const bool present = std::any_of(members.begin(), members.end(), [&seed](const Member &member) {
             return internal::runsOn(member, seed.vm);
         });
         if (!present) {
-            abandoned.push_back(seed.vm);
+            stale.push_back(seed.vm);
         }
     }
-    if (abandoned.size() == seeds.size()) {
-        abandoned.clear();
+    if (stale.size() == seeds.size()) {
+        stale.clear();
     }
-    return abandoned;
+    return stale;
 }
 
 } // namespace mulberryplank
--- a/src/policy/fleetseedstest.cpp
+++ b/src/policy/fleetseedstest.cpp
@@ -21,7 +21,7 @@
 {
     std::size_t count = 0;
     for (const Member &member : members) {
-        count += isAmongStrongest(members, member.incarnation, perDomain) ? 1 : 0;
+        count += isAmongTopRanked(members, member.incarnation, perDomain) ? 1 : 0;
     }
     return count;
 }
@@ -43,18 +43,18 @@
 TEST(FleetSeeds, strongestAreSeeds)
 {
     const std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500), memberAt("hall", 3) };
-    CHECK_TRUE(isAmongStrongest(members, 2, 1));
-    CHECK_FALSE(isAmongStrongest(members, 1, 1));
+    CHECK_TRUE(isAmongTopRanked(members, 2, 1));
+    CHECK_FALSE(isAmongTopRanked(members, 1, 1));
 }
 
 TEST(FleetSeeds, placeOfADeadOrLeavingSeedIsTaken)
 {
     for (const MemberStatus status : { MemberStatus::Dead, MemberStatus::Leaving }) {
         std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500) };
-        CHECK_FALSE(isAmongStrongest(members, 1, 1));
+        CHECK_FALSE(isAmongTopRanked(members, 1, 1));
         members[1].status = status;
-        CHECK_TRUE(isAmongStrongest(members, 1, 1));
-        CHECK_FALSE(isAmongStrongest(members, 2, 1));
+        CHECK_TRUE(isAmongTopRanked(members, 1, 1));
+        CHECK_FALSE(isAmongTopRanked(members, 2, 1));
     }
 }
 
@@ -65,16 +65,16 @@
     const std::vector<FleetSeed> seeds { { VmName("vm-1"), {}, {} },
                                          { VmName("vm-2"), {}, {} },
                                          { VmName("vm-3"), {}, {} } };
-    const std::vector<VmName> abandoned = abandonedSeeds(seeds, members);
-    CHECK_EQUAL(2, abandoned.size());
-    CHECK_TRUE(abandoned.front() == VmName("vm-2"));
+    const std::vector<VmName> stale = staleSeeds(seeds, members);
+    CHECK_EQUAL(2, stale.size());
+    CHECK_TRUE(stale.front() == VmName("vm-2"));
 }
 
 // Failure: newcomers find nobody, though the fleet runs.
 TEST(FleetSeeds, whoKnowsNoSeedTakesNoneOut)
 {
     const std::vector<Member> members { memberAt("hall", 1) };
-    CHECK_EQUAL(0, abandonedSeeds({ { VmName("vm-2"), {}, {} }, { VmName("vm-3"), {}, {} } }, members).size());
+    CHECK_EQUAL(0, staleSeeds({ { VmName("vm-2"), {}, {} }, { VmName("vm-3"), {}, {} } }, members).size());
 }
 
 // Failure: most processes of a fleet that starts read the configuration from the store, each for itself.
@@ -82,8 +82,8 @@
 {
     std::vector<Member> members { memberAt("hall", 1), memberAt("hall", 2, 500), memberAt("other", 3, 900) };
     members[2].ready = true;
-    CHECK_EQUAL(2, readerOf(members, FailureDomain("hall"))->incarnation);
+    CHECK_EQUAL(2, designatedReader(members, FailureDomain("hall"))->incarnation);
     members[1].status = MemberStatus::Suspect;
-    CHECK_EQUAL(1, readerOf(members, FailureDomain("hall"))->incarnation);
-    CHECK_FALSE(readerOf(members, FailureDomain("none")).has_value());
+    CHECK_EQUAL(1, designatedReader(members, FailureDomain("hall"))->incarnation);
+    CHECK_FALSE(designatedReader(members, FailureDomain("none")).has_value());
 }
--- a/src/policy/fleetshares.cpp
+++ b/src/policy/fleetshares.cpp
@@ -14,9 +14,9 @@
 {
 
 // What an unknown account may do; a rate of 0 would mean no limit.
-constexpr double LeastRate = 1e-6;
+constexpr double MinRate = 1e-6;
 
-constexpr double LeastLocalWeight = 0.001;
+constexpr double MinLocalWeight = 0.001;
 
 // What an account may come to want until the next report, as a factor: without this room, an account that uses less
 // than its part would queue at a proxy that has no other account to leave slots.
@@ -72,7 +72,7 @@
         return;
     }
     if (!m_d->peers.isMember(m_d->settings.self)) {
-        m_d->giveUp();
+        m_d->releaseClaims();
     }
     if (m_d->evenPartsClaimed) {
         // Even parts of fewer members are larger: the others have to agree on them anew.
@@ -114,7 +114,7 @@
     for (auto &[index, account] : m_d->named) {
         const auto found = observed.find(index);
         AccountDemand none;
-        none.over = m_d->settings.reportInterval;
+        none.interval = m_d->settings.reportInterval;
         Private::smooth(account, found == observed.end() ? none : *found->second);
     }
 }
@@ -126,25 +126,25 @@
 
 DemandReport FleetShares::report(Instant now)
 {
-    m_d->peers.declareSilence(now);
+    m_d->peers.markUnresponsive(now);
     const bool cutOff = m_d->holdsAnything() && !m_d->peers.connected(now);
-    if (cutOff || (m_d->evenPartsClaimed && m_d->peers.declaredSilentByPeer(now))) {
-        m_d->giveUp();
+    if (cutOff || (m_d->evenPartsClaimed && m_d->peers.markedUnresponsiveByPeer(now))) {
+        m_d->releaseClaims();
     }
     m_d->claimEvenParts(now);
     m_d->contentChanged = m_d->updateReported() || m_d->contentChanged;
-    m_d->forgetQuiet();
-    m_d->moveClaims(now);
+    m_d->forgetIdleAccounts();
+    m_d->adjustClaims(now);
     DemandReport report = m_d->compose(now);
     m_d->confirmClaims(now);
-    const bool quick = m_d->anythingPending() || report.complete;
+    const bool quick = m_d->hasPendingClaims() || report.complete;
     m_d->next = now + (quick ? m_d->settings.quickInterval : m_d->settings.reportInterval);
     return report;
 }
 
 DemandReport FleetShares::leave(Instant now)
 {
-    m_d->giveUp();
+    m_d->releaseClaims();
     m_d->named.clear();
     DemandReport report = m_d->compose(now);
     report.leaving = true;
@@ -171,7 +171,7 @@
 {
     const auto row = m_d->rows.find(index);
     if (row == m_d->rows.end()) {
-        return { LeastRate, AdmitNone, AdmitNone };
+        return { MinRate, AdmitNone, AdmitNone };
     }
     const ShareAmounts limits = limitsOf(row->second);
     const auto named = m_d->named.find(index);
@@ -184,7 +184,7 @@
         allowed.at(kind) = split.fixed + (connected ? usable : 0);
     }
     Limits local;
-    local.requestsPerSecond = limits[0] > 0 ? std::max(allowed[0], LeastRate) : 0;
+    local.requestsPerSecond = limits[0] > 0 ? std::max(allowed[0], MinRate) : 0;
     local.inFlight = limits[1] > 0 ? localCount(allowed[1]) : 0;
     local.queue = limits[2] > 0 ? localCount(allowed[2]) : 0;
     return local;
@@ -194,13 +194,13 @@
 {
     const auto row = m_d->rows.find(index);
     if (row == m_d->rows.end()) {
-        return LeastLocalWeight;
+        return MinLocalWeight;
     }
     const double weight = row->second.weight;
     const auto named = m_d->named.find(index);
     const double own = named == m_d->named.end() ? 0 : named->second.reportedSlots;
     const double whole = own + m_d->othersSlots(index);
-    return whole <= 0 ? weight : std::max(weight * own / whole, LeastLocalWeight);
+    return whole <= 0 ? weight : std::max(weight * own / whole, MinLocalWeight);
 }
 
 double FleetShares::capacityShare(double slots) const
--- a/src/policy/fleetsharesprivate.cpp
+++ b/src/policy/fleetsharesprivate.cpp
@@ -25,7 +25,7 @@
 constexpr double SlotsSeconds = 4;
 
 // Smoothed demand below this counts as none.
-constexpr double LeastDemand = 0.01;
+constexpr double MinDemand = 0.01;
 
 constexpr auto RateKind = static_cast<std::size_t>(LimitKind::RequestsPerSecond);
 
@@ -34,15 +34,15 @@
     return std::abs(reported - now) > DemandStep * std::max(reported, now);
 }
 
-// Returns the part of a new observation in a demand smoothed over `seconds`.
-double gainOf(Duration over, double seconds)
+// Returns the part of a new observation in a demand smoothed interval `seconds`.
+double gainOf(Duration interval, double seconds)
 {
-    return 1 - std::exp(-toSeconds(over) / seconds);
+    return 1 - std::exp(-toSeconds(interval) / seconds);
 }
 
-double withoutTraces(double demand)
+double dropNegligible(double demand)
 {
-    return demand < LeastDemand ? 0 : demand;
+    return demand < MinDemand ? 0 : demand;
 }
 
 } // namespace
@@ -92,7 +92,7 @@
     const AccountName &account = rows.at(index).account;
     double sum = 0;
     for (const FleetPeer &peer : peers.peers()) {
-        if (!peers.givenUp(peer, now)) {
+        if (!peers.claimsReleased(peer, now)) {
             sum += peer.claimed(account, kind, pool, peers.memberCount());
         }
     }
@@ -109,7 +109,7 @@
     std::vector<std::pair<VmName, double>> demands { { settings.self, own.reportedWanted.at(kind) } };
     double sum = own.reportedWanted.at(kind);
     for (const FleetPeer &peer : peers.peers()) {
-        if (peer.silent || peer.last.leaving || !peers.isMember(peer.vm)) {
+        if (peer.unresponsive || peer.last.leaving || !peers.isMember(peer.vm)) {
             continue;
         }
         const auto found = peer.accounts.find(account);
@@ -150,32 +150,32 @@
     double sum = 0;
     for (const FleetPeer &peer : peers.peers()) {
         const auto found = peer.accounts.find(account);
-        if (found != peer.accounts.end() && !peer.silent && !peer.last.leaving && peers.isMember(peer.vm)) {
+        if (found != peer.accounts.end() && !peer.unresponsive && !peer.last.leaving && peers.isMember(peer.vm)) {
             sum += found->second.slots;
         }
     }
     return sum;
 }
 
-bool FleetShares::Private::somebodyWants(AccountIndex index) const
+bool FleetShares::Private::isWantedByPeer(AccountIndex index) const
 {
     const std::string &account = rows.at(index).account.value();
     return std::any_of(peers.peers().begin(), peers.peers().end(), [&account](const FleetPeer &peer) {
         const auto found = peer.accounts.find(account);
-        return !peer.silent && !peer.last.leaving && found != peer.accounts.end() && isWanted(found->second);
+        return !peer.unresponsive && !peer.last.leaving && found != peer.accounts.end() && isWanted(found->second);
     });
 }
 
 void FleetShares::Private::smooth(NamedAccount &account, const AccountDemand &demand)
 {
-    const double gain = gainOf(demand.over, WantedSeconds);
+    const double gain = gainOf(demand.interval, WantedSeconds);
     const ShareAmounts wanted { demand.requestsPerSecond, demand.inFlightWanted, demand.queueWanted };
     for (std::size_t kind = 0; kind < LimitKinds; ++kind) {
         double &smoothed = account.wanted.at(kind);
-        smoothed = withoutTraces(smoothed + gain * (wanted.at(kind) - smoothed));
+        smoothed = dropNegligible(smoothed + gain * (wanted.at(kind) - smoothed));
     }
-    const double slotsGain = account.slots == 0 ? 1 : gainOf(demand.over, SlotsSeconds);
-    account.slots = withoutTraces(account.slots + slotsGain * (demand.slots - account.slots));
+    const double slotsGain = account.slots == 0 ? 1 : gainOf(demand.interval, SlotsSeconds);
+    account.slots = dropNegligible(account.slots + slotsGain * (demand.slots - account.slots));
     account.inUse = { 0, static_cast<double>(demand.running), static_cast<double>(demand.queued) };
 }
 
@@ -217,15 +217,15 @@
     DemandReport report;
     report.sequence = sequence;
     report.contentSequence = contentSequence;
-    report.complete = contentSequence == sequence || !peers.heardPeersAcknowledged(contentSequence, now);
+    report.complete = contentSequence == sequence || !peers.reachablePeersAcknowledged(contentSequence, now);
     report.claimsEvenParts = evenPartsClaimed;
     report.membersDigest = peers.membersDigest();
     report.memberCount = peers.memberCount();
-    report.heard = peers.heard(now);
+    report.peerStatus = peers.peerStatus(now);
     if (report.complete) {
         report.accounts = accountReports();
     }
-    peers.noteSent(sequence, now);
+    peers.recordSent(sequence, now);
     return report;
 }
 
--- a/src/policy/fleetsharesprivate.h
+++ b/src/policy/fleetsharesprivate.h
@@ -49,19 +49,19 @@
     }
 
     // Claims.
-    void giveUp();
+    void releaseClaims();
     bool holdsAnything() const;
     void claimEvenParts(Instant now);
-    void moveClaims(Instant now);
-    void moveClaim(AccountIndex index, internal::NamedAccount &account, std::size_t kind, Instant now);
+    void adjustClaims(Instant now);
+    void adjustClaim(AccountIndex index, internal::NamedAccount &account, std::size_t kind, Instant now);
     void confirmClaims(Instant now);
     void confirmClaim(AccountIndex index, internal::NamedAccount &account, std::size_t kind, Instant now);
     internal::NamedAccount *name(AccountIndex index);
     void nameAccountsOf(const internal::FleetPeer &peer);
-    bool anythingPending() const;
-    void forgetQuiet();
+    bool hasPendingClaims() const;
+    void forgetIdleAccounts();
     void rescale(AccountIndex index, const ShareAmounts &before, const ShareAmounts &after);
-    bool somebodyWants(AccountIndex index) const;
+    bool isWantedByPeer(AccountIndex index) const;
 
     // Arithmetic.
     internal::LimitParts parts(AccountIndex index, std::size_t kind) const;
--- a/src/policy/fleetsharestest.cpp
+++ b/src/policy/fleetsharestest.cpp
@@ -41,16 +41,16 @@
     std::unique_ptr<FleetShares> shares;
     double demand = 0; // requests per second
     Instant pausedUntil {};
-    bool gone = false;
+    bool stopped = false;
 };
 
 struct Faults {
     double loss = 0; // part of reports
-    Duration longestDelay = Millis(5);
+    Duration maxDelay = Millis(5);
     bool pauses = false;
     bool restarts = false;
-    bool cuts = false; // of single directions
-    bool moves = false; // demand
+    bool linkFailures = false; // of single directions
+    bool demandChanges = false; // demand
 };
 
 // Processes that exchange reports over a network that loses, delays, repeats and reorders them.
@@ -91,7 +91,7 @@
             }
         }
         deliver();
-        cause(faults);
+        injectFaults(faults);
     }
 
     void run(Duration time, const Faults &faults)
@@ -104,7 +104,7 @@
 
     bool running(const Process &process) const
     {
-        return !process.gone && now >= process.pausedUntil;
+        return !process.stopped && now >= process.pausedUntil;
     }
 
     Limits limits(const Process &process) const
@@ -133,7 +133,7 @@
     // Ends every process's pause and every cut.
     void heal()
     {
-        m_cuts.clear();
+        m_blockedLinks.clear();
         for (Process &process : processes) {
             process.pausedUntil = now;
         }
@@ -145,14 +145,14 @@
         for (std::size_t one = 0; one < m_members.size(); ++one) {
             for (std::size_t other = 0; other < m_members.size(); ++other) {
                 if ((one < count) != (other < count)) {
-                    m_cuts[{ m_members[one], m_members[other] }] = true;
+                    m_blockedLinks[{ m_members[one], m_members[other] }] = true;
                 }
             }
         }
     }
 
     // Tells one process that the members with indexes from `first` up to `end` carry the service.
-    void tell(std::size_t process, std::size_t first, std::size_t end)
+    void setMembersOf(std::size_t process, std::size_t first, std::size_t end)
     {
         const std::vector<VmName> members(m_members.begin() + static_cast<std::ptrdiff_t>(first),
                                           m_members.begin() + static_cast<std::ptrdiff_t>(end));
@@ -160,23 +160,23 @@
     }
 
     // Tells the same to just these members.
-    void believe(std::size_t first, std::size_t end)
+    void setMembersOfPart(std::size_t first, std::size_t end)
     {
         for (std::size_t index = first; index < end; ++index) {
-            tell(index, first, end);
+            setMembersOf(index, first, end);
         }
     }
 
-    // Runs and returns the greatest sum of rates that occurred.
-    double greatestRateSum(Duration time)
+    // Runs and returns the maxSum sum of rates that occurred.
+    double maxRateSum(Duration time)
     {
-        double greatest = 0;
+        double maxSum = 0;
         const Instant end = now + time;
         while (now < end) {
             step({});
-            greatest = std::max(greatest, rateSum());
+            maxSum = std::max(maxSum, rateSum());
         }
-        return greatest;
+        return maxSum;
     }
 
     Instant now = Start;
@@ -202,13 +202,13 @@
         const DemandReport sent = process.shares->report(now);
         const auto sender = static_cast<std::size_t>(&process - processes.data());
         for (std::size_t receiver = 0; receiver < processes.size(); ++receiver) {
-            const bool cut = m_cuts.contains({ process.vm, processes[receiver].vm });
+            const bool cut = m_blockedLinks.contains({ process.vm, processes[receiver].vm });
             if (receiver == sender || cut || chance() < faults.loss) {
                 continue;
             }
             const int copies = chance() < faults.loss / 2 ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
-                const auto delay = fromSeconds(chance() * toSeconds(faults.longestDelay));
+                const auto delay = fromSeconds(chance() * toSeconds(faults.maxDelay));
                 m_network.emplace(now + delay, Message { sender, receiver, sent });
             }
         }
@@ -221,7 +221,7 @@
             m_network.erase(m_network.begin());
             Process &receiver = processes[message.receiver];
             const Process &sender = processes[message.sender];
-            if (receiver.gone) {
+            if (receiver.stopped) {
                 continue;
             }
             if (!running(receiver)) {
@@ -232,20 +232,20 @@
         }
     }
 
-    void cause(const Faults &faults)
+    void injectFaults(const Faults &faults)
     {
         Process &any = processes[m_random() % processes.size()];
-        if (faults.moves && chance() < 0.01) {
+        if (faults.demandChanges && chance() < 0.01) {
             any.demand = chance() < 0.4 ? 0 : chance() * 2'000;
         }
         if (faults.pauses && chance() < 0.005) {
             any.pausedUntil = now + fromSeconds(chance() * 30);
         }
-        if (faults.cuts && chance() < 0.01) {
+        if (faults.linkFailures && chance() < 0.01) {
             const VmName &from = m_members[m_random() % m_members.size()];
             const VmName &to = m_members[m_random() % m_members.size()];
-            if (m_cuts.erase({ from, to }) == 0) {
-                m_cuts[{ from, to }] = true;
+            if (m_blockedLinks.erase({ from, to }) == 0) {
+                m_blockedLinks[{ from, to }] = true;
             }
         }
         if (faults.restarts && chance() < 0.002 && processes.size() < 3 * m_members.size()) {
@@ -257,7 +257,7 @@
     void replace(Process &process)
     {
         const VmName vm = process.vm;
-        process.gone = process.gone || chance() < 0.5;
+        process.stopped = process.stopped || chance() < 0.5;
         process.pausedUntil = std::max(process.pausedUntil, now + Seconds(20));
         begin(vm);
     }
@@ -265,12 +265,12 @@
     std::mt19937 m_random;
     std::vector<VmName> m_members;
     std::multimap<Instant, Message> m_network;
-    std::map<std::pair<VmName, VmName>, bool> m_cuts;
+    std::map<std::pair<VmName, VmName>, bool> m_blockedLinks;
     Incarnation m_lastIncarnation = 0;
 };
 
 // Returns how far the sum may go: processes beyond one per member and one more each have a fixed part.
-double mostRate(const Fleet &fleet, std::size_t members)
+double maxAllowedRate(const Fleet &fleet, std::size_t members)
 {
     const auto count = static_cast<std::size_t>(
         std::count_if(fleet.processes.begin(), fleet.processes.end(), [&fleet](const Process &process) {
@@ -288,19 +288,19 @@
 {
     CHECK_TRUE(rc::check("sum of local limits within the fleet's", [] {
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
-        // A member alone has nobody who could tell it of a predecessor that is only paused.
+        // A member alone has nobody who could setMembersOf it of a predecessor that is only paused.
         const auto members = *rc::gen::inRange<std::size_t>(2, 7);
         Faults faults;
-        faults.moves = true;
+        faults.demandChanges = true;
         faults.loss = *rc::gen::inRange(0, 60) / 100.0;
-        faults.longestDelay = Millis(*rc::gen::inRange(1, 10'000));
+        faults.maxDelay = Millis(*rc::gen::inRange(1, 10'000));
         faults.pauses = *rc::gen::arbitrary<bool>();
         faults.restarts = *rc::gen::arbitrary<bool>();
-        faults.cuts = *rc::gen::arbitrary<bool>();
+        faults.linkFailures = *rc::gen::arbitrary<bool>();
         Fleet fleet(seed, members);
         for (int step = 0; step < 1'500; ++step) {
             fleet.step(faults);
-            RC_ASSERT(fleet.rateSum() <= mostRate(fleet, members));
+            RC_ASSERT(fleet.rateSum() <= maxAllowedRate(fleet, members));
             RC_ASSERT(fleet.inFlightSum() <= InFlightLimit);
         }
     }));
@@ -312,31 +312,31 @@
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
         std::mt19937 random(seed);
         Faults faults;
-        faults.moves = true;
+        faults.demandChanges = true;
         faults.loss = *rc::gen::inRange(0, 30) / 100.0;
-        faults.longestDelay = Millis(*rc::gen::inRange(1, 500));
+        faults.maxDelay = Millis(*rc::gen::inRange(1, 500));
         Fleet fleet(seed, 7);
         std::size_t first = 0;
         std::size_t count = 7;
-        std::vector<Instant> learns(7, Start);
+        std::vector<Instant> learnTimes(7, Start);
         // Parts of fixed parts differ with the number of members; the pool must never be passed.
-        const double most = RateLimit * (1 + 0.05);
+        const double maxRate = RateLimit * (1 + 0.05);
         for (int step = 0; step < 1'200; ++step) {
             if (step % 300 == 299) {
                 first = random() % 3;
                 count = 3 + random() % (7 - first - 2);
-                for (Instant &learn : learns) {
-                    learn = fleet.now + Millis(random() % 3'000);
+                for (Instant &learnTime : learnTimes) {
+                    learnTime = fleet.now + Millis(random() % 3'000);
                 }
             }
-            for (std::size_t index = 0; index < learns.size(); ++index) {
-                if (fleet.now >= learns[index]) {
-                    learns[index] = Instant::max();
-                    fleet.tell(index, first, first + count);
+            for (std::size_t index = 0; index < learnTimes.size(); ++index) {
+                if (fleet.now >= learnTimes[index]) {
+                    learnTimes[index] = Instant::max();
+                    fleet.setMembersOf(index, first, first + count);
                 }
             }
             fleet.step(faults);
-            RC_ASSERT(fleet.rateSum() <= most);
+            RC_ASSERT(fleet.rateSum() <= maxRate);
             RC_ASSERT(fleet.inFlightSum() <= InFlightLimit);
         }
     }));
@@ -374,7 +374,7 @@
     Fleet fleet(1, 5);
     fleet.processes[0].demand = 2'000;
     fleet.run(Seconds(10), {});
-    fleet.processes[0].gone = true;
+    fleet.processes[0].stopped = true;
     fleet.processes[1].demand = 2'000;
     fleet.run(Seconds(5), {});
     CHECK_TRUE(fleet.limits(fleet.processes[1]).requestsPerSecond < 0.3 * RateLimit); // still reserved
@@ -409,17 +409,17 @@
     fleet.run(Seconds(10), {});
     fleet.partition(2);
     fleet.run(Seconds(5), {});
-    fleet.believe(0, 2);
-    fleet.believe(2, 5);
+    fleet.setMembersOfPart(0, 2);
+    fleet.setMembersOfPart(2, 5);
     const double fixedParts = 0.05 * RateLimit; // those of a smaller whole are larger
-    CHECK_TRUE(fleet.greatestRateSum(Seconds(50)) <= RateLimit + fixedParts);
-    const double later = fleet.greatestRateSum(Seconds(60));
+    CHECK_TRUE(fleet.maxRateSum(Seconds(50)) <= RateLimit + fixedParts);
+    const double later = fleet.maxRateSum(Seconds(60));
     CHECK_TRUE(later > 1.5 * RateLimit);
     CHECK_TRUE(later <= 2 * RateLimit);
     fleet.heal();
-    fleet.believe(0, 5);
+    fleet.setMembersOfPart(0, 5);
     fleet.run(Seconds(10), {});
-    CHECK_TRUE(fleet.greatestRateSum(Seconds(10)) <= RateLimit + 1e-6);
+    CHECK_TRUE(fleet.maxRateSum(Seconds(10)) <= RateLimit + 1e-6);
     CHECK_TRUE(fleet.rateSum() >= 0.95 * RateLimit);
 }
 
--- a/src/policy/floor.cpp
+++ b/src/policy/floor.cpp
@@ -20,22 +20,22 @@
 
 void EjectionClaims::setPeers(const std::vector<PeerKey> &peers, Instant now)
 {
-    const std::set<PeerKey> wanted(peers.begin(), peers.end());
+    const std::set<PeerKey> newPeers(peers.begin(), peers.end());
     for (auto &[key, peer] : m_peers) {
-        if (peer.named && wanted.count(key) == 0) {
-            peer.named = false;
+        if (peer.listed && newPeers.count(key) == 0) {
+            peer.listed = false;
             peer.removedAt = now;
         }
     }
-    for (const PeerKey key : wanted) {
+    for (const PeerKey key : newPeers) {
         if (key == m_self) {
             continue;
         }
         const auto [entry, added] = m_peers.try_emplace(key);
-        entry->second.named = true;
+        entry->second.listed = true;
         if (added) {
             entry->second.addedAt = now;
-            entry->second.heardAt = now;
+            entry->second.lastReportAt = now;
         }
     }
 }
@@ -47,22 +47,22 @@
         return false;
     }
     Peer &sender = found->second;
-    // Datagrams arrive late and twice. An older report would bring back claims that were given up, and would count as
-    // a sign of life of a peer that has fallen silent.
+    // Datagrams arrive late and twice. An older report would bring back claims that were withdrawn up, and would count
+    // as a sign of life of a peer that has fallen unresponsivePeer.
     if (report.sequence <= sender.newest) {
         return false;
     }
     sender.newest = report.sequence;
-    sender.heardAt = now;
+    sender.lastReportAt = now;
     for (const TargetId target : report.claimed) {
         const bool known = std::find(sender.claimed.begin(), sender.claimed.end(), target) != sender.claimed.end();
-        m_unconfirmed = m_unconfirmed || !known;
+        m_hasUnconfirmedPeerClaims = m_hasUnconfirmedPeerClaims || !known;
     }
     sender.claimed = report.claimed;
     sender.unavailable = report.unavailable;
-    sender.hears.clear();
+    sender.receivesFrom.clear();
     for (const ReportAck &ack : report.acks) {
-        sender.hears.insert(ack.peer);
+        sender.receivesFrom.insert(ack.peer);
         if (ack.peer == m_self) {
             sender.confirmed = std::max(sender.confirmed, std::min(ack.sequence, m_sequence));
         }
@@ -73,7 +73,7 @@
 void EjectionClaims::fill(EvidenceReport &report, Instant now)
 {
     ++m_sequence;
-    m_unconfirmed = false;
+    m_hasUnconfirmedPeerClaims = false;
     m_sent.push_back({ m_sequence, now });
     while (now - m_sent.front().at > m_settings.lease) {
         m_sent.pop_front();
@@ -87,7 +87,7 @@
         report.claimed.push_back(target);
     }
     for (const auto &[key, peer] : m_peers) {
-        if (peer.newest != 0 && !isSilent(peer, now)) {
+        if (peer.newest != 0 && !isUnresponsive(peer, now)) {
             report.acks.push_back({ key, peer.newest });
         }
     }
@@ -103,7 +103,7 @@
     m_claims.erase(target);
 }
 
-bool EjectionClaims::holds(TargetId target) const
+bool EjectionClaims::isInEffect(TargetId target) const
 {
     const auto found = m_claims.find(target);
     return found != m_claims.end() && found->second.inEffect;
@@ -114,7 +114,7 @@
     return m_claims.count(target) != 0;
 }
 
-std::size_t EjectionClaims::claimsElsewhere(TargetId target, Instant now) const
+std::size_t EjectionClaims::countOtherClaims(TargetId target, Instant now) const
 {
     return static_cast<std::size_t>(std::count_if(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
         return claimedBy(entry.first, target, now);
@@ -124,7 +124,7 @@
 bool EjectionClaims::claimedBy(PeerKey peer, TargetId target, Instant now) const
 {
     const auto found = m_peers.find(peer);
-    if (found == m_peers.end() || isSilent(found->second, now)) {
+    if (found == m_peers.end() || isUnresponsive(found->second, now)) {
         return false;
     }
     const std::vector<TargetId> &claimed = found->second.claimed;
@@ -138,11 +138,11 @@
 
 std::vector<TargetId> EjectionClaims::tick(const std::vector<TargetId> &known,
                                            std::size_t floor,
-                                           const Badness &badness,
+                                           const FaultSeverity &faultSeverity,
                                            Instant now)
 {
-    forgetLingering(now);
-    if (!leased(now)) {
+    removeExpiredPeers(now);
+    if (!hasLease(now)) {
         // Without confirmations the others may be about to count our ejections as lapsed and use up the floor
         // themselves. Ours end first, and have to be announced again.
         for (auto &[target, claim] : m_claims) {
@@ -152,13 +152,13 @@
         return {};
     }
     std::set<TargetId> out;
-    const std::set<TargetId> worst = worstView(now);
-    std::copy_if(known.begin(), known.end(), std::inserter(out, out.end()), [&worst](TargetId target) {
-        return worst.count(target) != 0;
+    const std::set<TargetId> outTargets = outInAnyView(now);
+    std::copy_if(known.begin(), known.end(), std::inserter(out, out.end()), [&outTargets](TargetId target) {
+        return outTargets.count(target) != 0;
     });
     const std::size_t budget = known.size() - std::min(floor, known.size());
     if (out.size() > budget) {
-        return yield(out, budget, badness, now);
+        return giveUpExcess(out, budget, faultSeverity, now);
     }
     for (auto &[target, claim] : m_claims) {
         claim.inEffect = claim.inEffect || isConfirmed(claim, now);
@@ -168,44 +168,45 @@
 
 std::size_t EjectionClaims::outOfService(const std::vector<TargetId> &known, Instant now) const
 {
-    const std::set<TargetId> worst = worstView(now);
-    return static_cast<std::size_t>(std::count_if(known.begin(), known.end(), [&worst](TargetId target) {
-        return worst.count(target) != 0;
+    const std::set<TargetId> outTargets = outInAnyView(now);
+    return static_cast<std::size_t>(std::count_if(known.begin(), known.end(), [&outTargets](TargetId target) {
+        return outTargets.count(target) != 0;
     }));
 }
 
-bool EjectionClaims::hasNews() const
+bool EjectionClaims::needsReport() const
 {
-    return m_unconfirmed || std::any_of(m_claims.begin(), m_claims.end(), [](const auto &entry) {
+    return m_hasUnconfirmedPeerClaims || std::any_of(m_claims.begin(), m_claims.end(), [](const auto &entry) {
                return entry.second.announced == 0;
            });
 }
 
-bool EjectionClaims::leased(Instant now) const
+bool EjectionClaims::hasLease(Instant now) const
 {
-    std::size_t present = 1;
+    std::size_t responsiveProxies = 1;
     for (const auto &[key, peer] : m_peers) {
-        if (!isSilent(peer, now)) {
+        if (!isUnresponsive(peer, now)) {
             if (!isFresh(peer, now)) {
                 return false;
             }
-            ++present;
+            ++responsiveProxies;
             continue;
         }
         // Silent here only: the peer may be hearing others, and may be ejecting with their confirmations.
-        const bool heardElsewhere = std::any_of(m_peers.begin(), m_peers.end(), [&, silent = key](const auto &entry) {
-            return !isSilent(entry.second, now) && entry.second.hears.count(silent) != 0;
-        });
-        if (heardElsewhere) {
+        const bool receivedElsewhere =
+            std::any_of(m_peers.begin(), m_peers.end(), [&, unresponsivePeer = key](const auto &entry) {
+                return !isUnresponsive(entry.second, now) && entry.second.receivesFrom.count(unresponsivePeer) != 0;
+            });
+        if (receivedElsewhere) {
             return false;
         }
     }
-    return 2 * present > m_peers.size() + 1;
+    return 2 * responsiveProxies > m_peers.size() + 1;
 }
 
-bool EjectionClaims::isSilent(const Peer &peer, Instant now) const
+bool EjectionClaims::isUnresponsive(const Peer &peer, Instant now) const
 {
-    return now - peer.heardAt > m_settings.expiry;
+    return now - peer.lastReportAt > m_settings.expiry;
 }
 
 bool EjectionClaims::isFresh(const Peer &peer, Instant now) const
@@ -224,18 +225,18 @@
         return m_peers.empty();
     }
     return std::all_of(m_peers.begin(), m_peers.end(), [&](const auto &entry) {
-        return isSilent(entry.second, now) || entry.second.confirmed >= claim.announced;
+        return isUnresponsive(entry.second, now) || entry.second.confirmed >= claim.announced;
     });
 }
 
-std::set<TargetId> EjectionClaims::worstView(Instant now) const
+std::set<TargetId> EjectionClaims::outInAnyView(Instant now) const
 {
     std::set<TargetId> result(m_unavailable.begin(), m_unavailable.end());
     for (const auto &[target, claim] : m_claims) {
         result.insert(target);
     }
     for (const auto &[key, peer] : m_peers) {
-        if (!isSilent(peer, now)) {
+        if (!isUnresponsive(peer, now)) {
             result.insert(peer.claimed.begin(), peer.claimed.end());
             result.insert(peer.unavailable.begin(), peer.unavailable.end());
         }
@@ -243,46 +244,46 @@
     return result;
 }
 
-std::vector<TargetId> EjectionClaims::yield(const std::set<TargetId> &out,
-                                            std::size_t budget,
-                                            const Badness &badness,
-                                            Instant now)
+std::vector<TargetId> EjectionClaims::giveUpExcess(const std::set<TargetId> &out,
+                                                   std::size_t budget,
+                                                   const FaultSeverity &faultSeverity,
+                                                   Instant now)
 {
-    std::vector<TargetId> given;
+    std::vector<TargetId> withdrawn;
     for (const auto &[target, claim] : m_claims) {
-        if (out.count(target) != 0 && worseThan(target, out, badness, now) >= budget) {
-            given.push_back(target);
+        if (out.count(target) != 0 && countOutranking(target, out, faultSeverity, now) >= budget) {
+            withdrawn.push_back(target);
         }
     }
-    for (const TargetId target : given) {
+    for (const TargetId target : withdrawn) {
         m_claims.erase(target);
     }
-    return given;
+    return withdrawn;
 }
 
 // Returns how many targets that are out come before `target`: those that nobody ejected, and the worse ones.
-std::size_t EjectionClaims::worseThan(TargetId target,
-                                      const std::set<TargetId> &out,
-                                      const Badness &badness,
-                                      Instant now) const
+std::size_t EjectionClaims::countOutranking(TargetId target,
+                                            const std::set<TargetId> &out,
+                                            const FaultSeverity &faultSeverity,
+                                            Instant now) const
 {
-    const double own = badness(target);
+    const double own = faultSeverity(target);
     return static_cast<std::size_t>(std::count_if(out.begin(), out.end(), [&](TargetId other) {
         if (other == target) {
             return false;
         }
-        if (!claims(other) && claimsElsewhere(other, now) == 0) {
+        if (!claims(other) && countOtherClaims(other, now) == 0) {
             return true;
         }
-        const double theirs = badness(other);
-        return theirs > own || (theirs == own && other < target);
+        const double otherSeverity = faultSeverity(other);
+        return otherSeverity > own || (otherSeverity == own && other < target);
     }));
 }
 
-void EjectionClaims::forgetLingering(Instant now)
+void EjectionClaims::removeExpiredPeers(Instant now)
 {
     std::erase_if(m_peers, [&](const auto &entry) {
-        return !entry.second.named && now - entry.second.removedAt > m_settings.linger;
+        return !entry.second.listed && now - entry.second.removedAt > m_settings.retention;
     });
 }
 
--- a/src/policy/floortest.cpp
+++ b/src/policy/floortest.cpp
@@ -36,26 +36,26 @@
         shareViews();
     }
 
-    void step(bool troubled)
+    void step(bool withFaults)
     {
         m_now += Step;
         for (std::size_t index = 0; index < m_proxies.size(); ++index) {
-            if (troubled) {
-                disturb(index);
+            if (withFaults) {
+                injectFaults(index);
             }
             if (!m_proxies[index].paused) {
-                act(index, troubled);
+                act(index, withFaults);
             }
         }
         deliver();
         for (Proxy &proxy : m_proxies) {
             if (!proxy.paused) {
-                proxy.claims->tick(m_targets, m_floor, m_badness, m_now);
+                proxy.claims->tick(m_targets, m_floor, m_faultSeverity, m_now);
             }
         }
     }
 
-    void heal()
+    void recover()
     {
         m_cuts.clear();
         for (Proxy &proxy : m_proxies) {
@@ -128,11 +128,11 @@
     bool isEjected(TargetId target) const
     {
         return std::any_of(m_proxies.begin(), m_proxies.end(), [target](const Proxy &proxy) {
-            return !proxy.paused && proxy.claims->holds(target);
+            return !proxy.paused && proxy.claims->isInEffect(target);
         });
     }
 
-    void disturb(std::size_t index)
+    void injectFaults(std::size_t index)
     {
         Proxy &proxy = m_proxies[index];
         if (chance(0.01)) {
@@ -155,14 +155,14 @@
         }
     }
 
-    void act(std::size_t index, bool troubled)
+    void act(std::size_t index, bool withFaults)
     {
         Proxy &proxy = m_proxies[index];
         const TargetId target = m_targets[pick(m_targets.size())];
-        if (troubled && chance(0.1)) {
+        if (withFaults && chance(0.1)) {
             proxy.claims->claim(target, m_now);
         }
-        if (troubled && chance(0.03)) {
+        if (withFaults && chance(0.03)) {
             proxy.claims->release(target);
         }
         if (!chance(0.3)) {
@@ -171,9 +171,9 @@
         EvidenceReport report;
         proxy.claims->fill(report, m_now);
         for (std::size_t to = 0; to < m_proxies.size(); ++to) {
-            const bool lost = (troubled && chance(0.1)) || m_cuts.count({ index, to }) != 0;
+            const bool lost = (withFaults && chance(0.1)) || m_cuts.count({ index, to }) != 0;
             if (to != index && !lost) {
-                const Duration delay = Millis { troubled && chance(0.05) ? pick(8'000) : pick(100) };
+                const Duration delay = Millis { withFaults && chance(0.05) ? pick(8'000) : pick(100) };
                 m_messages.push_back({ m_proxies[to].key, proxy.key, m_now + delay, report });
             }
         }
@@ -224,7 +224,7 @@
     std::set<std::pair<std::size_t, std::size_t>> m_cuts; // from, to
     std::vector<Message> m_messages;
     Instant m_now {};
-    EjectionClaims::Badness m_badness = [](TargetId target) {
+    EjectionClaims::FaultSeverity m_faultSeverity = [](TargetId target) {
         return static_cast<double>(target % 5);
     };
 };
@@ -236,7 +236,7 @@
 TEST_GROUP(Floor) {};
 
 // Failure: a service with a floor of half its targets has fewer in service, though each proxy kept to the floor.
-TEST(Floor, holdsOverAllProxiesWhateverTheNetworkDoes)
+TEST(Floor, holdsOverAllProxiesUnderNetworkFaults)
 {
     CHECK_TRUE(rc::check("floor holds", [](std::uint32_t seed) {
         const std::size_t proxies = 2 + seed % 5;
@@ -251,7 +251,7 @@
 }
 
 // Failure: after a network fault has healed, no proxy ejects anything any more.
-TEST(Floor, ejectsUpToTheFloorOnceTheNetworkHasHealed)
+TEST(Floor, ejectsUpToTheFloorAfterTheNetworkHasRecovered)
 {
     CHECK_TRUE(rc::check("liveness", [](std::uint32_t seed) {
         const std::size_t targets = 4 + seed % 6;
@@ -260,7 +260,7 @@
         for (int step = 0; step < 300; ++step) {
             fleet.step(true);
         }
-        fleet.heal();
+        fleet.recover();
         fleet.releaseAll();
         for (std::size_t step = 0; step < StepsToSettle; ++step) {
             fleet.step(false);
@@ -275,7 +275,7 @@
     }));
 }
 
-TEST(Floor, ejectionsGiveWayToTargetsThatBecomeUnavailable)
+TEST(Floor, withdrawsEjectionsWhenTargetsBecomeUnavailable)
 {
     Fleet fleet(7, 4, 8, 4);
     for (const TargetId target : { 1, 2, 3, 4 }) {
--- a/src/policy/forwardplan.cpp
+++ b/src/policy/forwardplan.cpp
@@ -13,9 +13,9 @@
 
 // Attempts that certainly did not run, beyond the route's number: a full or vanished target costs little to find out
 // about, but each one costs the fleet's budget.
-constexpr std::uint32_t MostRefused = 3;
+constexpr std::uint32_t MaxRefusedAttempts = 3;
 
-ErrorKind notRunKind(AttemptResult result)
+ErrorKind notRunError(AttemptResult result)
 {
     switch (result) {
     case AttemptResult::Shed:
@@ -47,12 +47,12 @@
         return false;
     }
     const std::uint32_t refused = m_started - mayRun;
-    return mayRun < m_route.mostAttempts && refused < internal::MostRefused;
+    return mayRun < m_route.maxAttempts && refused < internal::MaxRefusedAttempts;
 }
 
-bool ForwardPlan::nextIsLast() const
+bool ForwardPlan::nextAttemptIsLast() const
 {
-    return m_running + m_mayHaveRun + 1 >= m_route.mostAttempts;
+    return m_running + m_mayHaveRun + 1 >= m_route.maxAttempts;
 }
 
 void ForwardPlan::onStarted()
@@ -67,14 +67,14 @@
 
 void ForwardPlan::onFailed(AttemptResult result, bool sent)
 {
-    m_last = result;
+    m_lastResult = result;
     if (!sent) {
         return;
     }
     --m_running;
     if (result != AttemptResult::Shed) {
         ++m_mayHaveRun;
-        m_lastThatMayHaveRun = result;
+        m_lastPossiblyRunResult = result;
     }
 }
 
@@ -83,12 +83,12 @@
     return m_running + m_mayHaveRun > 0 ? Outcome::Unknown : Outcome::NotRun;
 }
 
-ErrorKind ForwardPlan::finalError(bool timeIsUp) const
+ErrorKind ForwardPlan::finalError(bool deadlinePassed) const
 {
     if (outcome() == Outcome::Unknown) {
-        return timeIsUp ? ErrorKind::TargetTimeout : unknownOutcomeKind(m_lastThatMayHaveRun);
+        return deadlinePassed ? ErrorKind::TargetTimeout : unknownOutcomeKind(m_lastPossiblyRunResult);
     }
-    return timeIsUp ? ErrorKind::DeadlineBeforeStart : internal::notRunKind(m_last);
+    return deadlinePassed ? ErrorKind::DeadlineBeforeStart : internal::notRunError(m_lastResult);
 }
 
 std::uint32_t ForwardPlan::started() const
--- a/src/policy/forwardplantest.cpp
+++ b/src/policy/forwardplantest.cpp
@@ -14,25 +14,25 @@
 constexpr Instant Start { Seconds(1'000) };
 constexpr Instant Deadline { Seconds(1'003) };
 
-HostRoute routeOf(RouteKind kind, std::uint32_t mostAttempts)
+HostRoute routeOf(RouteKind kind, std::uint32_t maxAttempts)
 {
     HostRoute route;
     route.kind = kind;
-    route.mostAttempts = mostAttempts;
+    route.maxAttempts = maxAttempts;
     return route;
 }
 
-constexpr std::array Failures { AttemptResult::ServerError, AttemptResult::Shed,    AttemptResult::ConnectFailed,
-                                AttemptResult::Timeout,     AttemptResult::Reset,   AttemptResult::Truncated,
-                                AttemptResult::Mismatched,  AttemptResult::Stalled, AttemptResult::Cancelled };
+constexpr std::array FailedResults { AttemptResult::ServerError, AttemptResult::Shed,    AttemptResult::ConnectFailed,
+                                     AttemptResult::Timeout,     AttemptResult::Reset,   AttemptResult::Truncated,
+                                     AttemptResult::Mismatched,  AttemptResult::Stalled, AttemptResult::Cancelled };
 
 } // namespace
 
 TEST_GROUP(ForwardPlan) {};
 
-TEST(ForwardPlan, requestThatRunsOnceIsNotSentAgainAfterAReset)
+TEST(ForwardPlan, nonIdempotentRequestIsNotRetriedAfterAReset)
 {
-    const HostRoute route = routeOf(RouteKind::Once, 3);
+    const HostRoute route = routeOf(RouteKind::NonIdempotent, 3);
     ForwardPlan plan(route, Deadline);
     plan.onStarted();
     plan.onSending();
@@ -42,9 +42,9 @@
     CHECK_TRUE(plan.outcome() == Outcome::Unknown);
 }
 
-TEST(ForwardPlan, requestThatRunsOnceIsSentAgainAfterARefusal)
+TEST(ForwardPlan, nonIdempotentRequestIsRetriedAfterARefusal)
 {
-    const HostRoute route = routeOf(RouteKind::Once, 2);
+    const HostRoute route = routeOf(RouteKind::NonIdempotent, 2);
     ForwardPlan plan(route, Deadline);
     plan.onStarted();
     plan.onSending();
@@ -64,7 +64,7 @@
 TEST(ForwardPlan, whateverAttemptsComeToNoPromiseIsBroken)
 {
     CHECK_TRUE(rc::check("at most once, at most so often, truthful", [] {
-        const auto kind = *rc::gen::element(RouteKind::Idempotent, RouteKind::Once, RouteKind::LargeAnswer);
+        const auto kind = *rc::gen::element(RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::LargeResponse);
         const HostRoute route = routeOf(kind, *rc::gen::inRange<std::uint32_t>(1, 4));
         ForwardPlan plan(route, Deadline);
         std::uint32_t mayHaveRun = 0;
@@ -81,11 +81,11 @@
             } else if (!running.empty()) {
                 const bool sent = running.back();
                 running.pop_back();
-                const AttemptResult result = *rc::gen::elementOf(Failures);
+                const AttemptResult result = *rc::gen::elementOf(FailedResults);
                 plan.onFailed(result, sent);
                 mayHaveRun -= sent && result == AttemptResult::Shed ? 1 : 0;
             }
-            RC_ASSERT(mayHaveRun <= route.mostAttempts);
+            RC_ASSERT(mayHaveRun <= route.maxAttempts);
             RC_ASSERT(isIdempotent(kind) || mayHaveRun <= 1);
             RC_ASSERT((plan.outcome() == Outcome::NotRun) == (mayHaveRun == 0));
             const ErrorAnswer &answer = errorAnswer(plan.finalError(false));
@@ -98,10 +98,10 @@
 {
     const HostRoute route = routeOf(RouteKind::Idempotent, 2);
     ForwardPlan plan(route, Deadline);
-    CHECK_FALSE(plan.nextIsLast());
+    CHECK_FALSE(plan.nextAttemptIsLast());
     plan.onStarted();
     plan.onSending();
-    CHECK_TRUE(plan.nextIsLast());
+    CHECK_TRUE(plan.nextAttemptIsLast());
     plan.onFailed(AttemptResult::Shed, true);
-    CHECK_FALSE(plan.nextIsLast());
+    CHECK_FALSE(plan.nextAttemptIsLast());
 }
--- a/src/policy/headerrules.cpp
+++ b/src/policy/headerrules.cpp
@@ -10,28 +10,28 @@
 {
 
 // Fields that concern one hop only (RFC 9110, 7.6.1), whether or not a Connection header names them.
-constexpr std::array<std::string_view, 9> HopByHop {
+constexpr std::array<std::string_view, 9> HopByHopFields {
     "Connection", "Keep-Alive",        "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
     "Trailer",    "Transfer-Encoding", "Upgrade",
 };
 
 // Fields towards a target that the product sets itself, or that are for the product alone. Expect is answered here.
-constexpr std::array<std::string_view, 6> NeverFromCaller {
-    "Authorization", RequestIdHeader, DeadlineHeader, AccountHeader, OnceKeyHeader, "Expect",
+constexpr std::array<std::string_view, 6> RequestFieldsNotForwarded {
+    "Authorization", RequestIdHeader, DeadlineHeader, AccountHeader, IdempotencyKeyHeader, "Expect",
 };
 
 // Fields towards a caller that the product sets itself, or that are between it and its targets.
-constexpr std::array<std::string_view, 5> NeverFromTarget {
+constexpr std::array<std::string_view, 5> ResponseFieldsNotForwarded {
     RequestIdHeader, OutcomeHeader, NotRunHeader, LoadHeader, DrainingHeader,
 };
 
 // Fields without which an answer can't be read whole; a Connection header that names them is not obeyed.
-constexpr std::array<std::string_view, 2> NeverNamed {
+constexpr std::array<std::string_view, 2> AlwaysEndToEnd {
     "Content-Length",
     "Content-Range",
 };
 
-constexpr std::array<std::string_view, 6> Conditions {
+constexpr std::array<std::string_view, 6> ConditionalFields {
     "Range", "If-Range", "If-Match", "If-None-Match", "If-Modified-Since", "If-Unmodified-Since",
 };
 
@@ -65,7 +65,7 @@
     return text.substr(first, text.find_last_not_of(Blank) - first + 1);
 }
 
-bool namedBy(std::string_view connection, std::string_view name)
+bool connectionLists(std::string_view connection, std::string_view name)
 {
     while (!connection.empty()) {
         const std::size_t comma = std::min(connection.find(','), connection.size());
@@ -81,25 +81,25 @@
 
 bool isEndToEnd(std::string_view name, std::string_view connection)
 {
-    if (internal::contains(internal::HopByHop, name)) {
+    if (internal::contains(internal::HopByHopFields, name)) {
         return false;
     }
-    return internal::contains(internal::NeverNamed, name) || !internal::namedBy(connection, name);
+    return internal::contains(internal::AlwaysEndToEnd, name) || !internal::connectionLists(connection, name);
 }
 
 bool forwardToTarget(std::string_view name, std::string_view connection)
 {
-    return isEndToEnd(name, connection) && !internal::contains(internal::NeverFromCaller, name);
+    return isEndToEnd(name, connection) && !internal::contains(internal::RequestFieldsNotForwarded, name);
 }
 
 bool forwardToCaller(std::string_view name, std::string_view connection)
 {
-    return isEndToEnd(name, connection) && !internal::contains(internal::NeverFromTarget, name);
+    return isEndToEnd(name, connection) && !internal::contains(internal::ResponseFieldsNotForwarded, name);
 }
 
 bool replacedOnResume(std::string_view name)
 {
-    return internal::contains(internal::Conditions, name);
+    return internal::contains(internal::ConditionalFields, name);
 }
 
 } // namespace mulberryplank
--- a/src/policy/hedge.cpp
+++ b/src/policy/hedge.cpp
@@ -35,7 +35,7 @@
 {
 }
 
-void HedgeDelay::onLatency(Duration latency)
+void HedgeDelay::recordLatency(Duration latency)
 {
     if (m_total >= m_settings.window) {
         halve();
@@ -46,7 +46,7 @@
 
 std::optional<Duration> HedgeDelay::delay() const
 {
-    if (m_total < m_settings.leastSamples) {
+    if (m_total < m_settings.minSamples) {
         return std::nullopt;
     }
     const auto rank = static_cast<std::uint32_t>(std::ceil(m_settings.quantile * m_total));
@@ -58,7 +58,7 @@
             break;
         }
     }
-    return std::max<Duration>(internal::upperEdge(bucket), m_settings.least);
+    return std::max<Duration>(internal::upperEdge(bucket), m_settings.minDelay);
 }
 
 void HedgeDelay::halve()
--- a/src/policy/hedgetest.cpp
+++ b/src/policy/hedgetest.cpp
@@ -19,7 +19,7 @@
         std::vector<int> sorted = lengths;
         std::sort(sorted.begin(), sorted.end());
         for (const int microseconds : lengths) {
-            hedge.onLatency(std::chrono::microseconds(microseconds));
+            hedge.recordLatency(std::chrono::microseconds(microseconds));
         }
         const Duration exact = std::chrono::microseconds(sorted.at(189)); // the 190th of 200
         RC_ASSERT(hedge.delay().has_value());
@@ -28,14 +28,14 @@
     }));
 }
 
-TEST(HedgeDelay, isUnknownUntilEnoughAnswersWereSeen)
+TEST(HedgeDelay, isUnknownUntilEnoughResponsesWereRecorded)
 {
     HedgeDelay hedge;
-    for (int answer = 0; answer < 99; ++answer) {
-        hedge.onLatency(Millis(5));
+    for (int response = 0; response < 99; ++response) {
+        hedge.recordLatency(Millis(5));
     }
     CHECK_FALSE(hedge.delay().has_value());
-    hedge.onLatency(Millis(5));
+    hedge.recordLatency(Millis(5));
     CHECK_TRUE(hedge.delay().has_value());
 }
 
@@ -43,11 +43,11 @@
 TEST(HedgeDelay, followsRouteThatHasBecomeSlower)
 {
     HedgeDelay hedge;
-    for (int answer = 0; answer < 100'000; ++answer) {
-        hedge.onLatency(Millis(5));
+    for (int response = 0; response < 100'000; ++response) {
+        hedge.recordLatency(Millis(5));
     }
-    for (int answer = 0; answer < 1'000; ++answer) {
-        hedge.onLatency(Millis(500));
+    for (int response = 0; response < 1'000; ++response) {
+        hedge.recordLatency(Millis(500));
     }
     CHECK_TRUE(*hedge.delay() >= Millis(500));
 }
--- a/src/policy/entrychoice.cpp
+++ b/src/policy/ingresschoice.cpp
@@ -1,4 +1,4 @@
-#include "mulberryplank/policy/entrychoice.h"
+#include "mulberryplank/policy/ingresschoice.h"
 
 #include <algorithm>
 #include <array>
@@ -15,10 +15,10 @@
 namespace
 {
 
-constexpr std::size_t Tiers = 3;
+constexpr std::size_t TierCount = 3;
 
-// Returns how far a member is from being fit: 0 is fit, Tiers never.
-std::size_t entryTier(const Member &member)
+// Returns how far a member is from being fit: 0 is fit, TierCount never.
+std::size_t ingressTier(const Member &member)
 {
     switch (member.status) {
     case MemberStatus::Alive:
@@ -29,25 +29,27 @@
     case MemberStatus::Dead:
         break;
     }
-    return Tiers;
+    return TierCount;
 }
 
-void takeStrongest(std::vector<const Member *> candidates, const EntrySettings &settings, std::vector<Member> &chosen)
+void appendHighestCapacity(std::vector<const Member *> candidates,
+                           const IngressSettings &settings,
+                           std::vector<Member> &chosen)
 {
     std::sort(candidates.begin(), candidates.end(), [](const Member *one, const Member *other) {
         return ranksBefore(*one, *other);
     });
-    double total = 0;
+    double totalCapacity = 0;
     for (const Member *candidate : candidates) {
-        total += candidate->capacity;
+        totalCapacity += candidate->capacity;
     }
-    double taken = 0;
+    double chosenCapacity = 0;
     std::size_t count = 0;
     for (const Member *candidate : candidates) {
-        if (count >= settings.leastPerDomain && taken >= total * settings.capacityShare) {
+        if (count >= settings.minPerDomain && chosenCapacity >= totalCapacity * settings.capacityShare) {
             return;
         }
-        taken += candidate->capacity;
+        chosenCapacity += candidate->capacity;
         ++count;
         chosen.push_back(*candidate);
     }
@@ -57,20 +59,20 @@
 
 } // namespace internal
 
-std::vector<Member> entryMembers(const std::vector<Member> &members, const EntrySettings &settings)
+std::vector<Member> ingressMembers(const std::vector<Member> &members, const IngressSettings &settings)
 {
     using ByDomain = std::map<FailureDomain, std::vector<const Member *>>;
-    std::array<ByDomain, internal::Tiers> tiers;
+    std::array<ByDomain, internal::TierCount> tiers;
     for (const Member &member : members) {
-        const std::size_t tier = internal::entryTier(member);
-        if (tier < internal::Tiers) {
+        const std::size_t tier = internal::ingressTier(member);
+        if (tier < internal::TierCount) {
             tiers.at(tier)[member.failureDomain].push_back(&member);
         }
     }
     std::vector<Member> chosen;
     for (const ByDomain &domains : tiers) {
         for (const auto &[domain, candidates] : domains) {
-            internal::takeStrongest(candidates, settings, chosen);
+            internal::appendHighestCapacity(candidates, settings, chosen);
         }
         if (!chosen.empty()) {
             break;
--- a/src/policy/entrychoicetest.cpp
+++ b/src/policy/ingresschoicetest.cpp
@@ -1,4 +1,4 @@
-#include "mulberryplank/policy/entrychoice.h"
+#include "mulberryplank/policy/ingresschoice.h"
 
 #include <algorithm>
 #include <map>
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr EntrySettings TwoOrAnEighth { 2, 0.125 };
+constexpr IngressSettings MinTwoOrAnEighth { 2, 0.125 };
 
 Member member(const std::string &name, const std::string &domain, std::uint32_t capacity)
 {
@@ -25,7 +25,7 @@
     return result;
 }
 
-bool names(const std::vector<Member> &chosen, const std::string &vm)
+bool contains(const std::vector<Member> &chosen, const std::string &vm)
 {
     return std::any_of(chosen.begin(), chosen.end(), [&vm](const Member &one) {
         return one.vm.value() == vm;
@@ -34,44 +34,44 @@
 
 } // namespace
 
-TEST_GROUP(EntryChoice) {};
+TEST_GROUP(IngressChoice) {};
 
-TEST(EntryChoice, strongestOfEachDomainAreNamed)
+TEST(IngressChoice, strongestOfEachDomainAreNamed)
 {
     const std::vector<Member> members = { member("a1", "a", 100),
                                           member("a2", "a", 500),
                                           member("a3", "a", 500),
                                           member("b1", "b", 100),
                                           member("b2", "b", 100) };
-    const std::vector<Member> chosen = entryMembers(members, TwoOrAnEighth);
+    const std::vector<Member> chosen = ingressMembers(members, MinTwoOrAnEighth);
     CHECK_EQUAL(4, chosen.size());
-    CHECK_FALSE(names(chosen, "a1"));
+    CHECK_FALSE(contains(chosen, "a1"));
 }
 
-TEST(EntryChoice, largerDomainGetsMoreEntries)
+TEST(IngressChoice, largerDomainGetsMoreEntries)
 {
     std::vector<Member> members;
     for (int index = 0; index < 32; ++index) {
         members.push_back(member("vm-" + std::to_string(index), "a", 100));
     }
-    CHECK_EQUAL(4, entryMembers(members, TwoOrAnEighth).size());
+    CHECK_EQUAL(4, ingressMembers(members, MinTwoOrAnEighth).size());
 }
 
-TEST(EntryChoice, membersThatLeaveOrAreNotReadyAreNamedOnlyWhenThereAreNoOthers)
+TEST(IngressChoice, membersThatLeaveOrAreNotReadyAreNamedOnlyWhenThereAreNoOthers)
 {
     std::vector<Member> members = { member("a", "d", 100), member("b", "d", 100), member("c", "d", 100) };
     members[0].status = MemberStatus::Leaving;
     members[1].ready = false;
-    CHECK_FALSE(names(entryMembers(members, TwoOrAnEighth), "a"));
+    CHECK_FALSE(contains(ingressMembers(members, MinTwoOrAnEighth), "a"));
     members[2].status = MemberStatus::Dead;
-    CHECK_TRUE(names(entryMembers(members, TwoOrAnEighth), "b"));
+    CHECK_TRUE(contains(ingressMembers(members, MinTwoOrAnEighth), "b"));
     members[1].status = MemberStatus::Dead;
-    CHECK_TRUE(names(entryMembers(members, TwoOrAnEighth), "a"));
+    CHECK_TRUE(contains(ingressMembers(members, MinTwoOrAnEighth), "a"));
     members[0].status = MemberStatus::Dead;
-    CHECK_EQUAL(0, entryMembers(members, TwoOrAnEighth).size());
+    CHECK_EQUAL(0, ingressMembers(members, MinTwoOrAnEighth).size());
 }
 
-TEST(EntryChoice, allAgreeWhateverTheOrderTheyKnowTheMembersIn)
+TEST(IngressChoice, allAgreeWhateverTheOrderTheyKnowTheMembersIn)
 {
     CHECK_TRUE(rc::check("agreed", [] {
         std::vector<Member> members;
@@ -80,19 +80,19 @@
             const std::string domain = std::to_string(*rc::gen::inRange(0, 4));
             members.push_back(member("vm-" + std::to_string(index), domain, *rc::gen::inRange<std::uint32_t>(1, 4)));
         }
-        const std::vector<Member> chosen = entryMembers(members, TwoOrAnEighth);
+        const std::vector<Member> chosen = ingressMembers(members, MinTwoOrAnEighth);
         std::shuffle(members.begin(), members.end(), std::mt19937(*rc::gen::arbitrary<std::uint32_t>()));
-        RC_ASSERT(entryMembers(members, TwoOrAnEighth) == chosen);
-        std::map<FailureDomain, std::size_t> there;
-        std::map<FailureDomain, std::size_t> named;
+        RC_ASSERT(ingressMembers(members, MinTwoOrAnEighth) == chosen);
+        std::map<FailureDomain, std::size_t> present;
+        std::map<FailureDomain, std::size_t> chosenCounts;
         for (const Member &one : members) {
-            ++there[one.failureDomain];
+            ++present[one.failureDomain];
         }
         for (const Member &one : chosen) {
-            ++named[one.failureDomain];
+            ++chosenCounts[one.failureDomain];
         }
-        for (const auto &[domain, size] : there) {
-            RC_ASSERT(named[domain] >= std::min<std::size_t>(2, size));
+        for (const auto &[domain, size] : present) {
+            RC_ASSERT(chosenCounts[domain] >= std::min<std::size_t>(2, size));
         }
     }));
 }
--- a/src/policy/itemjson.cpp
+++ b/src/policy/itemjson.cpp
@@ -45,7 +45,7 @@
     , m_path(std::move(path))
 {
     if (!m_object) {
-        throw FieldFault((m_path.empty() ? "the record" : m_path) + ": must be a JSON object");
+        throw FieldError((m_path.empty() ? "the record" : m_path) + ": must be a JSON object");
     }
 }
 
@@ -60,7 +60,7 @@
     std::string text = pathOf(key) + ": " + std::string(rule);
     const json::value *value = m_object->if_contains(key);
     text += value ? ", not " + json::serialize(*value).substr(0, ShownBytes) : ", but is missing";
-    throw FieldFault(std::move(text));
+    throw FieldError(std::move(text));
 }
 
 const json::value *FieldReader::find(std::string_view key)
@@ -76,12 +76,12 @@
     }
 }
 
-void FieldReader::refuseUnknown() const
+void FieldReader::rejectUnknownFields() const
 {
     for (const auto &field : *m_object) {
         const std::string_view key(field.key().data(), field.key().size());
         if (std::find(m_known.begin(), m_known.end(), key) == m_known.end()) {
-            throw FieldFault(pathOf(key) + ": no such field");
+            throw FieldError(pathOf(key) + ": no such field");
         }
     }
 }
@@ -246,7 +246,7 @@
     reader.read("idempotent", route.idempotent);
     reader.read("timeout_ms", route.timeout);
     reader.read("progress_timeout_ms", route.progressTimeout);
-    reader.refuseUnknown();
+    reader.rejectUnknownFields();
     return route;
 }
 
@@ -331,7 +331,7 @@
     boost::system::error_code error;
     json::value value = json::parse(text, error);
     if (error) {
-        throw FieldFault("not JSON: " + error.message());
+        throw FieldError("not JSON: " + error.message());
     }
     return value;
 }
--- a/src/policy/itemjson.h
+++ b/src/policy/itemjson.h
@@ -13,8 +13,8 @@
 {
 
 // A field of a JSON text that can't be taken, with its path. Thrown and caught within the codecs only.
-struct FieldFault : std::exception {
-    explicit FieldFault(std::string text)
+struct FieldError : std::exception {
+    explicit FieldError(std::string text)
         : detail(std::move(text))
     {
     }
@@ -26,7 +26,7 @@
 class FieldReader
 {
 public:
-    // Throws FieldFault if `value` isn't an object.
+    // Throws FieldError if `value` isn't an object.
     FieldReader(const boost::json::value &value, std::string path);
 
     // Each stores the field's value in `out`. A field that is missing leaves `out` alone, unless it is required.
@@ -65,7 +65,7 @@
     const boost::json::value *find(std::string_view key);
 
     // Throws if the object has a field that nobody asked for: a misspelt field would otherwise be lost silently.
-    void refuseUnknown() const;
+    void rejectUnknownFields() const;
 
     [[noreturn]] void fail(std::string_view key, std::string_view rule) const;
 
@@ -82,10 +82,10 @@
 
 boost::json::object toJson(const ConfigItem &item);
 
-// Returns the item that `value` stands for; throws FieldFault. An item to remove needs no more than its name.
+// Returns the item that `value` stands for; throws FieldError. An item to remove needs no more than its name.
 ConfigItem itemFromJson(FieldReader &reader, bool remove);
 
-// Returns the JSON value of `text`, or throws FieldFault.
+// Returns the JSON value of `text`, or throws FieldError.
 boost::json::value parseJson(std::string_view text);
 
 } // namespace mulberryplank::internal
--- a/src/policy/logposition.cpp
+++ b/src/policy/logposition.cpp
@@ -35,37 +35,39 @@
     return Names.at(static_cast<std::size_t>(finding));
 }
 
-Offset verifyingOffset(Offset applied)
+Offset verificationOffset(Offset applied)
 {
     return applied == 0 ? 0 : applied - 1;
 }
 
-LogJudgement judgeLog(Offset applied, const RecordDigest &last, LogPage page)
+LogCheckResult checkLog(Offset applied, const RecordDigest &last, LogPage page)
 {
     const std::string detail = internal::describe(applied, page);
     if (!internal::isContiguous(page)) {
         return { LogFinding::Malformed, {}, detail };
     }
     if (page.next < applied) {
-        return { LogFinding::WentBack, {}, detail };
+        return { LogFinding::RolledBack, {}, detail };
     }
     if (page.first > applied) {
         return { LogFinding::Expired, {}, detail };
     }
-    LogJudgement judgement { LogFinding::Current, {}, detail };
-    const Offset expected = std::max(verifyingOffset(applied), page.first);
+    LogCheckResult result { LogFinding::Current, {}, detail };
+    const Offset expected = std::max(verificationOffset(applied), page.first);
     if (page.next > expected && (page.records.empty() || page.records.front().offset != expected)) {
         return { LogFinding::Malformed, {}, detail };
     }
     for (LogRecord &record : page.records) {
         if (record.offset >= applied) {
-            judgement.finding = LogFinding::News;
-            judgement.news.push_back(std::move(record));
+            result.finding = LogFinding::NewRecords;
+            result.update.push_back(std::move(record));
         } else if (digestOfRecord(record.data) != last) {
-            return { LogFinding::WentBack, {}, detail + ", and record " + std::to_string(record.offset) + " differs" };
+            return { LogFinding::RolledBack,
+                     {},
+                     detail + ", and record " + std::to_string(record.offset) + " differs" };
         }
     }
-    return judgement;
+    return result;
 }
 
 SnapshotSchedule::SnapshotSchedule(Settings settings)
@@ -84,7 +86,7 @@
 }
 
 // Once half of the kept records are older than the newest snapshot, expiry is in sight.
-bool SnapshotSchedule::isPressing(const LogPage &log) const
+bool SnapshotSchedule::isNearExpiry(const LogPage &log) const
 {
     return !m_newestAt || m_newest < log.first + (log.next - log.first) / 2;
 }
@@ -94,8 +96,8 @@
     if (applied == 0 || applied < m_newest) {
         return false;
     }
-    const Duration delay = m_settings.perRank * static_cast<std::int64_t>(rank);
-    const Duration interval = isPressing(log) ? Duration(0) : m_settings.interval;
+    const Duration delay = m_settings.delayPerRank * static_cast<std::int64_t>(rank);
+    const Duration interval = isNearExpiry(log) ? Duration(0) : m_settings.interval;
     return now - m_newestSeen >= interval + delay;
 }
 
--- a/src/policy/memberlist.cpp
+++ b/src/policy/memberlist.cpp
@@ -12,10 +12,10 @@
 
 // How strong a status is against another one with the same counter: an accusation stands until its subject raises the
 // counter.
-int rank(MemberStatus status)
+int precedence(MemberStatus status)
 {
-    constexpr std::array<int, 4> Ranks { 0 /* Alive */, 2 /* Suspect */, 1 /* Leaving */, 3 /* Dead */ };
-    return Ranks.at(static_cast<std::size_t>(status));
+    constexpr std::array<int, 4> Precedences { 0 /* Alive */, 2 /* Suspect */, 1 /* Leaving */, 3 /* Dead */ };
+    return Precedences.at(static_cast<std::size_t>(status));
 }
 
 bool isNewer(const MemberUpdate &update, const MemberUpdate &known)
@@ -23,15 +23,15 @@
     if (update.counter != known.counter) {
         return update.counter > known.counter;
     }
-    return rank(update.status) > rank(known.status);
+    return precedence(update.status) > precedence(known.status);
 }
 
-bool isAccusation(MemberStatus status)
+bool isSuspectOrDead(MemberStatus status)
 {
     return status == MemberStatus::Suspect || status == MemberStatus::Dead;
 }
 
-constexpr std::size_t EventLimit = 10'000; // kept for a reader that doesn't come
+constexpr std::size_t MaxEvents = 10'000; // kept for a reader that doesn't come
 
 } // namespace
 
@@ -64,14 +64,14 @@
     queue(m_entries.front(), true);
 }
 
-bool MemberList::merge(const MemberUpdate &update, bool passOn, Instant now)
+bool MemberList::merge(const MemberUpdate &update, bool disseminate, Instant now)
 {
     if (update.incarnation == self().state.incarnation) {
         return mergeSelf(update);
     }
     Entry *entry = find(update.incarnation);
     if (!entry) {
-        return insert(update, passOn, now);
+        return insert(update, disseminate, now);
     }
     if (update.applied > entry->state.applied) {
         entry->state.applied = update.applied;
@@ -84,8 +84,8 @@
     entry->state.counter = update.counter;
     entry->state.ready = update.ready;
     entry->leaving = entry->leaving || update.status == MemberStatus::Leaving;
-    entry->ownJudgement = false;
-    entry->accusedHere = false;
+    entry->isolatedSuspicion = false;
+    entry->suspectedByThisProcess = false;
     setStatus(*entry, update.status);
     if (update.status == MemberStatus::Dead) {
         entry->deadline = now + m_forgetDeadAfter;
@@ -93,7 +93,7 @@
     } else if (before == MemberStatus::Dead) {
         addEvent(Event::MemberJoined, *entry, "back");
     }
-    if (passOn) {
+    if (disseminate) {
         queue(*entry, before == MemberStatus::Dead);
     }
     return true;
@@ -103,7 +103,7 @@
 bool MemberList::mergeSelf(const MemberUpdate &update)
 {
     Entry &own = self();
-    if (!isAccusation(update.status) || update.counter < own.state.counter) {
+    if (!isSuspectOrDead(update.status) || update.counter < own.state.counter) {
         return false;
     }
     own.state.counter = update.counter + 1;
@@ -113,7 +113,7 @@
 }
 
 // An accusation without a description is of somebody unknown or forgotten: of no use. Neither is news of the dead.
-bool MemberList::insert(const MemberUpdate &update, bool passOn, Instant now)
+bool MemberList::insert(const MemberUpdate &update, bool disseminate, Instant now)
 {
     if (!update.description || update.status == MemberStatus::Dead) {
         return false;
@@ -123,11 +123,11 @@
     entry.state = update;
     entry.state.status = MemberStatus::Alive;
     entry.leaving = update.status == MemberStatus::Leaving;
-    entry.lastHeard = now;
+    entry.lastReceived = now;
     setStatus(entry, update.status);
     m_joined.push_back(update.incarnation);
     addEvent(Event::MemberJoined, entry, "");
-    if (passOn) {
+    if (disseminate) {
         queue(entry, true);
     }
     return true;
@@ -157,17 +157,17 @@
     }
 }
 
-void MemberList::suspect(Entry &entry, Instant deadline, bool ownJudgement)
+void MemberList::suspect(Entry &entry, Instant deadline, bool isolatedSuspicion)
 {
-    entry.ownJudgement = ownJudgement;
+    entry.isolatedSuspicion = isolatedSuspicion;
     setStatus(entry, MemberStatus::Suspect);
     entry.deadline = deadline;
-    if (ownJudgement) {
-        m_ownJudgements.push_back(entry.state.incarnation);
+    if (isolatedSuspicion) {
+        m_isolatedSuspicions.push_back(entry.state.incarnation);
     } else {
         queue(entry, false);
     }
-    addEvent(Event::MemberSuspected, entry, ownJudgement ? "this process hears nobody" : "");
+    addEvent(Event::MemberSuspected, entry, isolatedSuspicion ? "this process hears nobody" : "");
 }
 
 void MemberList::expireSuspicions(Instant now)
@@ -186,21 +186,21 @@
     setStatus(entry, MemberStatus::Dead);
     entry.deadline = now + m_forgetDeadAfter;
     addEvent(entry.leaving ? Event::MemberLeft : Event::MemberDead, entry, "");
-    if (!entry.ownJudgement) {
+    if (!entry.isolatedSuspicion) {
         queue(entry, false);
     }
 }
 
 // What goes wrong without this: a process that heard nothing for a while takes everyone else for dead, and says so to
 // all as soon as it hears again. One would see the whole fleet suspected at once, by one member.
-void MemberList::withdrawOwnJudgements()
+void MemberList::withdrawIsolatedSuspicions()
 {
-    const std::vector<Incarnation> accused = std::move(m_ownJudgements);
-    m_ownJudgements.clear();
-    for (const Incarnation incarnation : accused) {
+    const std::vector<Incarnation> suspected = std::move(m_isolatedSuspicions);
+    m_isolatedSuspicions.clear();
+    for (const Incarnation incarnation : suspected) {
         Entry *entry = find(incarnation);
-        if (entry && entry->ownJudgement) {
-            entry->ownJudgement = false;
+        if (entry && entry->isolatedSuspicion) {
+            entry->isolatedSuspicion = false;
             setStatus(*entry, entry->leaving ? MemberStatus::Leaving : MemberStatus::Alive);
             addEvent(Event::MemberJoined, *entry, "suspicion withdrawn: this process had heard nobody");
         }
@@ -239,7 +239,7 @@
     }
 }
 
-void MemberList::raiseOwnCounter()
+void MemberList::incrementOwnCounter()
 {
     ++self().state.counter;
     queue(self(), true);
@@ -256,14 +256,14 @@
     own.state.status = status;
     own.state.ready = ready;
     m_membersStale = true;
-    raiseOwnCounter();
+    incrementOwnCounter();
 }
 
-void MemberList::queue(Entry &entry, bool describe)
+void MemberList::queue(Entry &entry, bool includeDescription)
 {
     const double magnitude = std::ceil(std::log10(static_cast<double>(liveCount()) + 1));
     entry.transmitsLeft = static_cast<std::uint8_t>(m_transmitFactor * std::max(1.0, magnitude));
-    entry.describe = entry.describe || describe;
+    entry.includeDescription = entry.includeDescription || includeDescription;
     if (!entry.queued) {
         entry.queued = true;
         m_queue.push_front(entry.state.incarnation);
@@ -280,13 +280,13 @@
         if (!entry || entry->transmitsLeft == 0) {
             if (entry) {
                 entry->queued = false;
-                entry->describe = false;
+                entry->includeDescription = false;
             }
             m_queue.pop_front();
             continue;
         }
         MemberUpdate update = entry->state;
-        if (!entry->describe) {
+        if (!entry->includeDescription) {
             update.description = nullptr;
         }
         const std::size_t size = encodedSizeBound(update);
@@ -302,7 +302,7 @@
     m_queue.insert(m_queue.end(), again.begin(), again.end());
     for (std::size_t i = 0; i < samples; ++i) {
         const Entry *entry = randomLive(random);
-        if (!entry || entry->ownJudgement) {
+        if (!entry || entry->isolatedSuspicion) {
             continue;
         }
         MemberUpdate update = entry->state;
@@ -323,7 +323,7 @@
 
 void MemberList::addEvent(Event event, const Entry &entry, std::string detail)
 {
-    if (m_events.size() < EventLimit) {
+    if (m_events.size() < MaxEvents) {
         m_events.push_back({ event, memberOf(entry.state), std::move(detail) });
     }
 }
--- a/src/policy/memberlistqueries.cpp
+++ b/src/policy/memberlistqueries.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-constexpr int RandomTries = 16;
+constexpr int MaxRandomAttempts = 16;
 
 } // namespace
 
@@ -55,7 +55,7 @@
     return m_entries.size() - m_deadCount;
 }
 
-bool MemberList::hasNews() const
+bool MemberList::hasUpdates() const
 {
     return !m_queue.empty();
 }
@@ -67,19 +67,19 @@
 
 MemberList::Entry *MemberList::randomLive(std::mt19937_64 &random)
 {
-    return liveCount() > 1 ? randomWhere(random, false) : nullptr;
+    return liveCount() > 1 ? randomByLiveness(random, false) : nullptr;
 }
 
 MemberList::Entry *MemberList::randomDead(std::mt19937_64 &random)
 {
-    return m_deadCount > 0 ? randomWhere(random, true) : nullptr;
+    return m_deadCount > 0 ? randomByLiveness(random, true) : nullptr;
 }
 
-MemberList::Entry *MemberList::randomWhere(std::mt19937_64 &random, bool dead)
+MemberList::Entry *MemberList::randomByLiveness(std::mt19937_64 &random, bool dead)
 {
     std::uniform_int_distribution<std::size_t> pick(1, m_entries.size() - 1);
     std::size_t index = pick(random);
-    for (int i = 0; i < RandomTries; ++i) {
+    for (int i = 0; i < MaxRandomAttempts; ++i) {
         if ((m_entries[index].state.status == MemberStatus::Dead) == dead) {
             return &m_entries[index];
         }
--- a/src/policy/membership.cpp
+++ b/src/policy/membership.cpp
@@ -10,17 +10,17 @@
 {
 
 constexpr Seconds SweepInterval { 30 };
-constexpr Seconds RecentlyHeard { 2 };
+constexpr Seconds RecentWindow { 2 };
 constexpr std::size_t MaxSuspectProbes = 4; // of this process, in one probe interval
 constexpr double MaxDeadProbeChance = 0.25; // of this process, in one probe interval
-constexpr int OneWayProbes = 3; // successive probes answered through others only, before the path counts as cut
-constexpr int AloneFactor = 3; // a process that hears nobody waits so much longer before it judges
+constexpr int OneWayThreshold = 3; // successive probes answered through others only, before the path counts as cut
+constexpr int IsolatedSuspicionFactor = 3; // a process that hears nobody waits so much longer before it judges
 constexpr Millis UsualTickGap { 250 };
 
-// Members that others accuse, and the dead, have their own probes. Who hears nobody goes on asking everyone.
+// Members that others suspectSubject, and the dead, have their own probes. Who hears nobody goes on asking everyone.
 bool isProbed(const MemberList::Entry &entry)
 {
-    return entry.ownJudgement || entry.state.status == MemberStatus::Alive
+    return entry.isolatedSuspicion || entry.state.status == MemberStatus::Alive
            || entry.state.status == MemberStatus::Leaving;
 }
 
@@ -30,14 +30,14 @@
     : m_settings(std::move(settings))
     , m_list(self, m_settings.transmitFactor, m_settings.forgetDeadAfter)
     , m_random(seed)
-    , m_describable(static_cast<double>(m_settings.describedAtOnce))
+    , m_availableDescriptions(static_cast<double>(m_settings.descriptionBurst))
 {
 }
 
 std::vector<OutgoingMessage> Membership::tick(Instant now)
 {
     std::vector<OutgoingMessage> out;
-    noticeGap(now);
+    handleTickGap(now);
     advanceProbes(now, out);
     if (now >= m_nextProbe) {
         m_nextProbe = now + m_settings.probeInterval;
@@ -54,16 +54,16 @@
 }
 
 // What goes wrong without this: a process that was paused, or starved of processor time, finds its probes unanswered
-// and its suspicions run out, and accuses members that answered in time. One would see it accuse many members in the
-// moment it resumes. The time that it was away is therefore not counted against anyone. After a long gap it also asks
-// for what it missed. That others took it for dead meanwhile it learns from the answer to its next probe.
-void Membership::noticeGap(Instant now)
+// and its suspicions run out, and accuses members that answered in time. One would see it suspectSubject many members
+// in the moment it resumes. The time that it was away is therefore not counted against anyone. After a long gap it also
+// asks for what it missed. That others took it for dead meanwhile it learns from the answer to its next probe.
+void Membership::handleTickGap(Instant now)
 {
     if (!m_started) {
         m_started = true;
         m_startedAt = now;
         m_lastTick = now;
-        m_lastHeard = now;
+        m_lastReceived = now;
         m_nextExchange = now + m_settings.exchangeInterval;
     }
     const Duration gap = now - m_lastTick;
@@ -75,30 +75,30 @@
         return;
     }
     m_list.postponeSuspicions(gap);
-    if (gap < m_settings.pauseAfter) {
+    if (gap < m_settings.pauseThreshold) {
         return;
     }
     m_probes.clear();
     m_relays.clear();
-    m_metUnknown = true;
+    m_hasUnknownMembers = true;
     m_nextEarlyExchange = now;
     m_outdated = m_outdated || gap * 2 > m_settings.forgetDeadAfter;
 }
 
-void Membership::noticeHearing(Instant now)
+void Membership::onMessageReceived(Instant now)
 {
     // Probes from a time when this process heard nobody tell nothing about their subjects, although it hears again by
     // the time that they end.
-    if (now - m_lastHeard >= m_settings.probeInterval * 2) {
+    if (now - m_lastReceived >= m_settings.probeInterval * 2) {
         m_probes.clear();
     }
-    m_lastHeard = now;
-    m_list.withdrawOwnJudgements();
+    m_lastReceived = now;
+    m_list.withdrawIsolatedSuspicions();
 }
 
 void Membership::startProbes(Instant now, std::vector<OutgoingMessage> &out)
 {
-    placeJoined();
+    insertJoinedMembers();
     const Incarnation subject = nextSubject();
     if (subject != 0) {
         const std::uint64_t number = m_nextNumber++;
@@ -130,7 +130,8 @@
     const std::size_t count = std::min(MaxSuspectProbes, suspects.size());
     for (std::size_t i = 0; i < count; ++i) {
         const Entry *suspect = m_list.find(suspects[m_nextSuspect++ % suspects.size()]);
-        if (suspect->accusedHere || chance(m_settings.suspectProbes / static_cast<double>(m_list.liveCount()))) {
+        if (suspect->suspectedByThisProcess
+            || chance(m_settings.suspectProbes / static_cast<double>(m_list.liveCount()))) {
             out.push_back(probeMessage(*suspect, m_nextNumber++, 0));
         }
     }
@@ -148,7 +149,7 @@
         const Entry *subject = m_list.find(probe.subject);
         const bool retry = (probe.stage == 0 && probe.waited >= m_settings.retryAfter)
                            || (probe.stage == 1 && probe.waited >= m_settings.secondRetryAfter);
-        if (!subject || probe.waited >= m_settings.answerLimit) {
+        if (!subject || probe.waited >= m_settings.responseTimeout) {
             finished.push_back(probe);
         } else if (retry) {
             ++probe.stage;
@@ -166,7 +167,7 @@
 void Membership::retryProbe(const Probe &probe, const Entry &subject, std::vector<OutgoingMessage> &out)
 {
     out.push_back(probeMessage(subject, probe.number, 0));
-    if (probe.answeredIndirectly) {
+    if (probe.respondedIndirectly) {
         return;
     }
     for (std::size_t i = 0; i < m_settings.indirectProbes; ++i) {
@@ -189,34 +190,35 @@
     if (!entry || entry->state.status == MemberStatus::Suspect || entry->state.status == MemberStatus::Dead) {
         return;
     }
-    if (!probe.answeredIndirectly) {
-        accuse(*entry, probe, now);
+    if (!probe.respondedIndirectly) {
+        suspectSubject(*entry, probe, now);
         return;
     }
     m_probeOrder.push_back(probe.subject); // look again soon
-    if (++entry->indirectOnly == OneWayProbes) {
-        m_list.addEvent(
-            Event::MemberOneWay, *entry, probe.heardUs ? "not heard by this process" : "doesn't hear this process");
-    } else if (entry->indirectOnly > OneWayProbes) {
-        entry->indirectOnly = OneWayProbes;
+    if (++entry->indirectOnlyProbes == OneWayThreshold) {
+        m_list.addEvent(Event::MemberOneWay,
+                        *entry,
+                        probe.receivedFromThisProcess ? "not heard by this process" : "doesn't hear this process");
+    } else if (entry->indirectOnlyProbes > OneWayThreshold) {
+        entry->indirectOnlyProbes = OneWayThreshold;
         m_probeOrder.pop_back();
     }
 }
 
-void Membership::accuse(Entry &entry, const Probe &probe, Instant now)
+void Membership::suspectSubject(Entry &entry, const Probe &probe, Instant now)
 {
-    const bool heardNobody = m_lastHeard < probe.started;
-    const Duration time = suspicionTime(entry) * (heardNobody ? AloneFactor : 1);
-    if (!heardNobody && recentlyHeard(entry, now)) {
+    const bool isIsolated = m_lastReceived < probe.started;
+    const Duration time = suspicionTime(entry) * (isIsolated ? IsolatedSuspicionFactor : 1);
+    if (!isIsolated && receivedRecently(entry, now)) {
         m_list.addEvent(Event::MemberOneWay, entry, "speaks but answers nobody");
     }
-    entry.accusedHere = true;
-    m_list.suspect(entry, now + time, heardNobody);
+    entry.suspectedByThisProcess = true;
+    m_list.suspect(entry, now + time, isIsolated);
 }
 
-bool Membership::recentlyHeard(const Entry &entry, Instant now) const
+bool Membership::receivedRecently(const Entry &entry, Instant now) const
 {
-    return now - entry.lastHeard < RecentlyHeard;
+    return now - entry.lastReceived < RecentWindow;
 }
 
 void Membership::startSuspicions(Instant now)
@@ -241,7 +243,7 @@
         const bool live = hint != m_hints.end() && hint->second == VmHint::Live;
         factor *= live ? 1.25 : 0.5;
     }
-    return fromSeconds(toSeconds(m_settings.suspicion) * factor);
+    return fromSeconds(toSeconds(m_settings.suspicionTimeout) * factor);
 }
 
 Incarnation Membership::nextSubject()
@@ -267,7 +269,7 @@
 
 // What goes wrong without this: who joins late isn't probed by anyone until their rounds end, which takes an hour in a
 // large fleet. One would see restarted members that die unnoticed.
-void Membership::placeJoined()
+void Membership::insertJoinedMembers()
 {
     for (const Incarnation incarnation : m_list.takeJoined()) {
         m_probeOrder.push_back(incarnation);
@@ -288,7 +290,7 @@
 
 void Membership::gossip(Instant now, std::vector<OutgoingMessage> &out)
 {
-    if (now < m_nextGossip || !m_list.hasNews()) {
+    if (now < m_nextGossip || !m_list.hasUpdates()) {
         return;
     }
     m_nextGossip = now + m_settings.gossipInterval;
@@ -298,9 +300,9 @@
             return;
         }
         const Endpoint to = receiver->state.description->peer;
-        MembershipMessage news = message(MembershipKind::Gossip, false);
-        if (!news.updates.empty()) {
-            out.push_back({ to, std::move(news) });
+        MembershipMessage gossipMessage = message(MembershipKind::Gossip, false);
+        if (!gossipMessage.updates.empty()) {
+            out.push_back({ to, std::move(gossipMessage) });
         }
     }
 }
@@ -324,8 +326,9 @@
     probe.number = number;
     probe.subject = subject.state.incarnation;
     probe.origin = origin;
-    const bool accused = subject.state.status == MemberStatus::Suspect || subject.state.status == MemberStatus::Dead;
-    if (accused && !subject.ownJudgement) {
+    const bool isAccusedSubject =
+        subject.state.status == MemberStatus::Suspect || subject.state.status == MemberStatus::Dead;
+    if (isAccusedSubject && !subject.isolatedSuspicion) {
         probe.updates.push_back(subject.state);
         probe.updates.back().description = nullptr;
     }
@@ -364,9 +367,9 @@
     return m_list.liveCount() <= 1;
 }
 
-Duration Membership::silence(Instant now) const
+Duration Membership::timeSinceLastMessage(Instant now) const
 {
-    return now - m_lastHeard;
+    return now - m_lastReceived;
 }
 
 } // namespace mulberryplank
--- a/src/policy/membershipexchange.cpp
+++ b/src/policy/membershipexchange.cpp
@@ -9,27 +9,27 @@
 std::optional<Endpoint> Membership::exchangeDue(Instant now)
 {
     if (now >= m_nextSeed) {
-        m_nextSeed = now + (isAlone() ? m_settings.joinRetry : m_settings.seedRetry);
-        if (const auto seed = unmetSeed(now)) {
+        m_nextSeed = now + (isAlone() ? m_settings.joinRetryInterval : m_settings.seedRetryInterval);
+        if (const auto seed = chooseUnknownSeed(now)) {
             return seed;
         }
     }
     if (isAlone()) {
         return std::nullopt;
     }
-    const bool early = m_metUnknown && now >= m_nextEarlyExchange;
+    const bool early = m_hasUnknownMembers && now >= m_nextEarlyExchange;
     if (now < m_nextExchange && !early) {
         return std::nullopt;
     }
-    m_metUnknown = false;
-    m_nextEarlyExchange = now + leastExchangePause(now);
+    m_hasUnknownMembers = false;
+    m_nextEarlyExchange = now + minExchangeInterval(now);
     m_nextExchange = now + m_settings.exchangeInterval;
     return m_list.randomLive(m_random)->state.description->peer;
 }
 
 bool Membership::justStarted(Instant now) const
 {
-    return now - m_startedAt < m_settings.catchUpFor;
+    return now - m_startedAt < m_settings.catchUpDuration;
 }
 
 // To one that has just started every member is new, and the others know most of them. What goes wrong without this: a
@@ -37,24 +37,24 @@
 // matter wait behind that.
 void Membership::merge(const MemberUpdate &update, Instant now)
 {
-    const bool passOn = !justStarted(now) || m_list.find(update.incarnation) != nullptr;
-    m_list.merge(update, passOn, now);
+    const bool disseminate = !justStarted(now) || m_list.find(update.incarnation) != nullptr;
+    m_list.merge(update, disseminate, now);
 }
 
-Duration Membership::leastExchangePause(Instant now) const
+Duration Membership::minExchangeInterval(Instant now) const
 {
     return justStarted(now) ? m_settings.catchUpInterval : m_settings.earlyExchangeInterval;
 }
 
 // What goes wrong without this: processes that joined through different seeds form a fleet each, and two parts that
 // lost each other for longer than the dead are remembered never meet again. One would see two lists that share nobody.
-// Nor is one seed asked again and again while it is busy with all who start at the same time.
-std::optional<Endpoint> Membership::unmetSeed(Instant now)
+// Nor is one seed requested again and again while it is busy with all who start at the same time.
+std::optional<Endpoint> Membership::chooseUnknownSeed(Instant now)
 {
-    std::set<Endpoint> met;
+    std::set<Endpoint> knownPeers;
     for (const Entry &entry : m_list.entries()) {
         if (entry.state.status != MemberStatus::Dead) {
-            met.insert(entry.state.description->peer);
+            knownPeers.insert(entry.state.description->peer);
         }
     }
     std::vector<Endpoint> candidates;
@@ -64,9 +64,9 @@
             break;
         }
         const Endpoint &seed = m_settings.seeds[index];
-        const auto asked = m_seedsAsked.find(seed);
-        const bool busy = asked != m_seedsAsked.end() && now - asked->second < m_settings.seedPatience;
-        if (!busy && !met.contains(seed)) {
+        const auto requested = m_seedRequestTimes.find(seed);
+        const bool busy = requested != m_seedRequestTimes.end() && now - requested->second < m_settings.seedTimeout;
+        if (!busy && !knownPeers.contains(seed)) {
             candidates.push_back(seed);
         }
     }
@@ -74,7 +74,7 @@
         return std::nullopt;
     }
     const Endpoint &chosen = candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(m_random)];
-    m_seedsAsked[chosen] = now;
+    m_seedRequestTimes[chosen] = now;
     return chosen;
 }
 
@@ -82,7 +82,7 @@
 {
     std::vector<MemberUpdate> request;
     for (const Entry &entry : m_list.entries()) {
-        if (entry.ownJudgement) {
+        if (entry.isolatedSuspicion) {
             continue;
         }
         request.push_back(entry.state);
@@ -94,62 +94,62 @@
 }
 
 // Returns how many members may be described to an asker now.
-std::size_t Membership::describable(Instant now)
+std::size_t Membership::availableDescriptions(Instant now)
 {
-    const double since = m_describableAt == Instant {} ? 0 : toSeconds(now - m_describableAt);
-    m_describableAt = now;
-    m_describable = std::min(m_describable + since * m_settings.describedPerSecond,
-                             static_cast<double>(m_settings.describedAtOnce));
-    return std::max(static_cast<std::size_t>(std::max(m_describable, 0.0)), m_settings.describedAtLeast);
+    const double since = m_availableDescriptionsAt == Instant {} ? 0 : toSeconds(now - m_availableDescriptionsAt);
+    m_availableDescriptionsAt = now;
+    m_availableDescriptions = std::min(m_availableDescriptions + since * m_settings.descriptionsPerSecond,
+                                       static_cast<double>(m_settings.descriptionBurst));
+    return std::max(static_cast<std::size_t>(std::max(m_availableDescriptions, 0.0)), m_settings.minDescriptions);
 }
 
-MemberExchange Membership::answerExchange(const std::vector<MemberUpdate> &request, Instant now)
+MemberExchange Membership::respondToExchange(const std::vector<MemberUpdate> &request, Instant now)
 {
-    noticeGap(now);
-    noticeHearing(now);
-    boost::unordered_flat_map<Incarnation, const MemberUpdate *> asked;
+    handleTickGap(now);
+    onMessageReceived(now);
+    boost::unordered_flat_map<Incarnation, const MemberUpdate *> requested;
     for (const MemberUpdate &update : request) {
-        asked[update.incarnation] = &update;
+        requested[update.incarnation] = &update;
         merge(update, now);
     }
-    MemberExchange answer;
-    answer.liveCount = static_cast<std::uint32_t>(m_list.liveCount());
+    MemberExchange response;
+    response.liveCount = static_cast<std::uint32_t>(m_list.liveCount());
     const std::vector<Entry> &entries = m_list.entries();
     // The own entry, which stands first, is told to everybody; of the others everybody gets a different part.
     const std::size_t others = entries.size() - 1;
     const std::size_t first = others == 0 ? 0 : std::uniform_int_distribution<std::size_t>(0, others - 1)(m_random);
     std::size_t described = 0;
-    const std::size_t mostDescribed = describable(now);
+    const std::size_t maxDescribed = availableDescriptions(now);
     for (std::size_t index = 0; index < entries.size(); ++index) {
         const Entry &entry = index == 0 ? entries.front() : entries[1 + (first + index - 1) % others];
         const bool isSelf = index == 0;
         // A list that is too old would bring back members that all others have forgotten.
-        if (entry.ownJudgement || (m_outdated && !isSelf)) {
+        if (entry.isolatedSuspicion || (m_outdated && !isSelf)) {
             continue;
         }
-        const auto known = asked.find(entry.state.incarnation);
-        if (known == asked.end()) {
-            if (described < mostDescribed) {
+        const auto listed = requested.find(entry.state.incarnation);
+        if (listed == requested.end()) {
+            if (described < maxDescribed) {
                 ++described;
-                answer.updates.push_back(entry.state);
+                response.updates.push_back(entry.state);
             }
-        } else if (known->second->counter != entry.state.counter || known->second->status != entry.state.status
-                   || known->second->applied != entry.state.applied) {
-            answer.updates.push_back(entry.state);
-            answer.updates.back().description = nullptr;
+        } else if (listed->second->counter != entry.state.counter || listed->second->status != entry.state.status
+                   || listed->second->applied != entry.state.applied) {
+            response.updates.push_back(entry.state);
+            response.updates.back().description = nullptr;
         }
     }
-    m_describable -= static_cast<double>(described);
-    return answer;
+    m_availableDescriptions -= static_cast<double>(described);
+    return response;
 }
 
-void Membership::mergeExchange(const MemberExchange &answer, Instant now)
+void Membership::mergeExchange(const MemberExchange &response, Instant now)
 {
-    noticeGap(now);
-    noticeHearing(now);
+    handleTickGap(now);
+    onMessageReceived(now);
     const bool wasAlone = isAlone();
     m_outdated = false;
-    for (const MemberUpdate &update : answer.updates) {
+    for (const MemberUpdate &update : response.updates) {
         if (wasAlone) {
             m_list.merge(update, false, now); // everybody else knows them
         } else {
@@ -159,14 +159,15 @@
     if (wasAlone) {
         m_list.queue(m_list.self(), true);
     }
-    noteLiveCount(answer.liveCount);
+    compareLiveCount(response.liveCount);
 }
 
 // Another member knows so many. Whoever knows notably fewer asks for the rest.
-void Membership::noteLiveCount(std::size_t elsewhere)
+void Membership::compareLiveCount(std::size_t peerLiveCount)
 {
     const auto own = static_cast<double>(m_list.liveCount());
-    m_metUnknown = m_metUnknown || static_cast<double>(elsewhere) > 1 + own * (1 + m_settings.differingShare);
+    m_hasUnknownMembers =
+        m_hasUnknownMembers || static_cast<double>(peerLiveCount) > 1 + own * (1 + m_settings.toleratedDifference);
 }
 
 void Membership::setSeeds(std::vector<Endpoint> seeds, std::size_t preferred)
--- a/src/policy/membershipreceive.cpp
+++ b/src/policy/membershipreceive.cpp
@@ -15,35 +15,35 @@
 std::vector<OutgoingMessage> Membership::receive(const Endpoint &from, const MembershipMessage &message, Instant now)
 {
     std::vector<OutgoingMessage> out;
-    noticeGap(now);
+    handleTickGap(now);
     if (message.sender.incarnation == m_list.self().state.incarnation) {
         return out;
     }
-    noticeHearing(now);
+    onMessageReceived(now);
     merge(message.sender, now);
     if (Entry *sender = m_list.find(message.sender.incarnation)) {
-        sender->lastHeard = now;
+        sender->lastReceived = now;
     }
     for (const MemberUpdate &update : message.updates) {
-        m_metUnknown = m_metUnknown || (!update.description && !m_list.find(update.incarnation));
+        m_hasUnknownMembers = m_hasUnknownMembers || (!update.description && !m_list.find(update.incarnation));
         merge(update, now);
     }
-    noteLiveCount(message.liveCount);
+    compareLiveCount(message.liveCount);
     switch (message.kind) {
     case MembershipKind::Probe:
-        answerProbe(from, message, now, out);
+        respondToProbe(from, message, now, out);
         break;
     case MembershipKind::IndirectProbe:
         relayProbe(from, message, now, out);
         break;
-    case MembershipKind::ProbeAnswer:
-        takeAnswer(message, out);
+    case MembershipKind::ProbeResponse:
+        handleProbeResponse(message, out);
         break;
-    case MembershipKind::IndirectAnswer:
-        takeIndirectAnswer(message);
+    case MembershipKind::IndirectResponse:
+        handleIndirectResponse(message);
         break;
-    case MembershipKind::NotHere:
-        takeNotHere(message, now);
+    case MembershipKind::AddressReassigned:
+        handleAddressReassigned(message, now);
         break;
     case MembershipKind::Gossip:
         break;
@@ -51,25 +51,25 @@
     return out;
 }
 
-void Membership::answerProbe(const Endpoint &from,
-                             const MembershipMessage &message,
-                             Instant now,
-                             std::vector<OutgoingMessage> &out)
+void Membership::respondToProbe(const Endpoint &from,
+                                const MembershipMessage &message,
+                                Instant now,
+                                std::vector<OutgoingMessage> &out)
 {
     const bool forThisProcess = message.subject == m_list.self().state.incarnation;
-    const MembershipKind kind = forThisProcess ? MembershipKind::ProbeAnswer : MembershipKind::NotHere;
-    MembershipMessage answer = this->message(kind, !forThisProcess);
-    answer.number = message.number;
-    answer.subject = message.subject;
+    const MembershipKind kind = forThisProcess ? MembershipKind::ProbeResponse : MembershipKind::AddressReassigned;
+    MembershipMessage response = this->message(kind, !forThisProcess);
+    response.number = message.number;
+    response.subject = message.subject;
     const Entry *origin = m_list.find(message.origin == 0 ? message.sender.incarnation : message.origin);
-    answer.heardOrigin = origin && recentlyHeard(*origin, now);
+    response.receivedFromOrigin = origin && receivedRecently(*origin, now);
     // A member that others accuse has to learn of it to refute it, and this may be its only way to.
     const Entry *sender = m_list.find(message.sender.incarnation);
     if (sender && (sender->state.status == MemberStatus::Suspect || sender->state.status == MemberStatus::Dead)) {
-        answer.updates.push_back(sender->state);
-        answer.updates.back().description = nullptr;
+        response.updates.push_back(sender->state);
+        response.updates.back().description = nullptr;
     }
-    out.push_back({ from, std::move(answer) });
+    out.push_back({ from, std::move(response) });
 }
 
 void Membership::relayProbe(const Endpoint &from,
@@ -84,7 +84,7 @@
         return;
     }
     const std::uint64_t number = m_nextNumber++;
-    m_relays.push_back({ number, message.number, from, now + m_settings.answerLimit });
+    m_relays.push_back({ number, message.number, from, now + m_settings.responseTimeout });
     MembershipMessage probe = this->message(MembershipKind::Probe, true);
     probe.number = number;
     probe.subject = message.subject;
@@ -92,13 +92,13 @@
     out.push_back({ message.subjectPeer, std::move(probe) });
 }
 
-void Membership::takeAnswer(const MembershipMessage &message, std::vector<OutgoingMessage> &out)
+void Membership::handleProbeResponse(const MembershipMessage &message, std::vector<OutgoingMessage> &out)
 {
     std::erase_if(m_probes, [&message](const Probe &probe) {
         return probe.number == message.number;
     });
     if (Entry *entry = m_list.find(message.subject)) {
-        entry->indirectOnly = 0;
+        entry->indirectOnlyProbes = 0;
     }
     const auto relay = std::find_if(m_relays.begin(), m_relays.end(), [&message](const Relay &candidate) {
         return candidate.number == message.number;
@@ -106,27 +106,27 @@
     if (relay == m_relays.end()) {
         return;
     }
-    MembershipMessage answer = this->message(MembershipKind::IndirectAnswer, false);
-    answer.number = relay->originNumber;
-    answer.subject = message.subject;
-    answer.heardOrigin = message.heardOrigin;
-    out.push_back({ relay->origin, std::move(answer) });
+    MembershipMessage response = this->message(MembershipKind::IndirectResponse, false);
+    response.number = relay->originNumber;
+    response.subject = message.subject;
+    response.receivedFromOrigin = message.receivedFromOrigin;
+    out.push_back({ relay->origin, std::move(response) });
     m_relays.erase(relay);
 }
 
-void Membership::takeIndirectAnswer(const MembershipMessage &message)
+void Membership::handleIndirectResponse(const MembershipMessage &message)
 {
     for (Probe &probe : m_probes) {
         if (probe.number == message.number && probe.subject == message.subject) {
-            probe.answeredIndirectly = true;
-            probe.heardUs = probe.heardUs || message.heardOrigin;
+            probe.respondedIndirectly = true;
+            probe.receivedFromThisProcess = probe.receivedFromThisProcess || message.receivedFromOrigin;
         }
     }
 }
 
 // Two processes can't listen at one address, so the one that this process knew there has ended. What goes wrong without
 // this: a VM that is replaced within seconds stays listed under both incarnations until the old one's suspicion ends.
-void Membership::takeNotHere(const MembershipMessage &message, Instant now)
+void Membership::handleAddressReassigned(const MembershipMessage &message, Instant now)
 {
     Entry *former = m_list.find(message.subject);
     const Entry *sender = m_list.find(message.sender.incarnation);
