--- a/src/policy/membershiptest.cpp
+++ b/src/policy/membershiptest.cpp
@@ -12,23 +12,23 @@
 namespace
 {
 
-constexpr Seconds Settle { 30 };
-constexpr Seconds NoticeBound { 15 }; // until everyone takes a dead member of a small fleet for dead
+constexpr Seconds SettleTime { 30 };
+constexpr Seconds DetectionLimit { 15 }; // until everyone takes a dead member of a small fleet for dead
 
-bool isAccusation(Event event)
+bool isSuspicionEvent(Event event)
 {
     return event == Event::MemberSuspected || event == Event::MemberDead;
 }
 
 // Every two running processes take each other for alive, or leaving.
-bool allAgreeOnLife(VirtualFleet &fleet)
+bool allSeeEachOtherAlive(VirtualFleet &fleet)
 {
     std::size_t running = 0;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         running += fleet.node(i).membership ? 1 : 0;
     }
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-        if (fleet.node(i).membership && fleet.believers(i) + 1 != running) {
+        if (fleet.node(i).membership && fleet.countSeeingAlive(i) + 1 != running) {
             return false;
         }
     }
@@ -36,7 +36,7 @@
 }
 
 // One fault of a random kind, and what it leaves behind.
-void disturb(VirtualFleet &fleet, std::set<std::pair<std::size_t, std::size_t>> &cuts)
+void injectFault(VirtualFleet &fleet, std::set<std::pair<std::size_t, std::size_t>> &blockedLinks)
 {
     const auto index = *rc::gen::inRange<std::size_t>(0, fleet.size());
     switch (*rc::gen::inRange(0, 6)) {
@@ -49,19 +49,19 @@
     case 2:
         fleet.pause(index, Millis(*rc::gen::inRange(100, 30'000)));
         break;
-    case 3: // cuts one direction of a link
-        cuts.insert({ index, *rc::gen::inRange<std::size_t>(0, fleet.size()) });
+    case 3: // blockedLinks one direction of a link
+        blockedLinks.insert({ index, *rc::gen::inRange<std::size_t>(0, fleet.size()) });
         break;
     case 4: // deafens a process
         for (std::size_t from = 0; from < fleet.size(); ++from) {
-            cuts.insert({ from, index });
+            blockedLinks.insert({ from, index });
         }
         break;
     default: // parts the fleet in two
         for (std::size_t from = 0; from < index; ++from) {
             for (std::size_t to = index; to < fleet.size(); ++to) {
-                cuts.insert({ from, to });
-                cuts.insert({ to, from });
+                blockedLinks.insert({ from, to });
+                blockedLinks.insert({ to, from });
             }
         }
     }
@@ -77,22 +77,22 @@
 {
     CHECK_TRUE(rc::check("finally in agreement", [] {
         VirtualFleet fleet(*rc::gen::inRange<std::size_t>(2, 10), {}, *rc::gen::arbitrary<std::uint64_t>());
-        std::set<std::pair<std::size_t, std::size_t>> cuts;
-        fleet.blocked = [&cuts](std::size_t from, std::size_t to) {
-            return cuts.count({ from, to }) != 0;
+        std::set<std::pair<std::size_t, std::size_t>> blockedLinks;
+        fleet.blocked = [&blockedLinks](std::size_t from, std::size_t to) {
+            return blockedLinks.count({ from, to }) != 0;
         };
         fleet.loss = *rc::gen::element(0.0, 0.05, 0.3);
         fleet.startAll();
         fleet.run(Seconds(5));
         const int faults = *rc::gen::inRange(0, 8);
         for (int i = 0; i < faults; ++i) {
-            disturb(fleet, cuts);
+            injectFault(fleet, blockedLinks);
         }
-        cuts.clear();
+        blockedLinks.clear();
         fleet.loss = 0;
         fleet.start(0); // a seed, so that a process that had joined nobody yet can
-        fleet.run(Seconds(30) + Settle);
-        RC_ASSERT(allAgreeOnLife(fleet));
+        fleet.run(Seconds(30) + SettleTime);
+        RC_ASSERT(allSeeEachOtherAlive(fleet));
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             for (const Member &member :
                  fleet.node(i).membership ? fleet.node(i).membership->members() : std::vector<Member> {}) {
@@ -111,14 +111,14 @@
         VirtualFleet fleet(*rc::gen::inRange<std::size_t>(3, 24), {}, *rc::gen::arbitrary<std::uint64_t>());
         fleet.loss = *rc::gen::element(0.0, 0.05);
         fleet.startAll();
-        fleet.run(Settle);
-        const auto victim = *rc::gen::inRange<std::size_t>(0, fleet.size());
-        fleet.kill(victim);
-        fleet.run(NoticeBound);
-        RC_ASSERT(fleet.believers(victim) == 0U);
+        fleet.run(SettleTime);
+        const auto killed = *rc::gen::inRange<std::size_t>(0, fleet.size());
+        fleet.kill(killed);
+        fleet.run(DetectionLimit);
+        RC_ASSERT(fleet.countSeeingAlive(killed) == 0U);
         for (std::size_t i = 0; i < fleet.size(); ++i) {
-            if (i != victim) {
-                RC_ASSERT(fleet.statusOf(victim, i) == MemberStatus::Dead);
+            if (i != killed) {
+                RC_ASSERT(fleet.statusOf(killed, i) == MemberStatus::Dead);
             }
         }
     }));
@@ -133,25 +133,25 @@
     fleet.run(Seconds(5));
     fleet.start(7);
     fleet.run(Seconds(5));
-    LONGS_EQUAL(199, fleet.believers(7));
+    LONGS_EQUAL(199, fleet.countSeeingAlive(7));
     fleet.kill(7);
-    fleet.run(NoticeBound);
-    LONGS_EQUAL(0, fleet.believers(7));
+    fleet.run(DetectionLimit);
+    LONGS_EQUAL(0, fleet.countSeeingAlive(7));
 }
 
 // Failure: healthy proxies are taken out of service again and again on a network that loses some datagrams.
 TEST(Membership, nobodyIsSuspectedInAnHourAtFivePercentLoss)
 {
     VirtualFleet fleet(32, {}, 1);
-    std::size_t accusations = 0;
+    std::size_t suspicionEvents = 0;
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     fleet.loss = 0.05;
     fleet.onEvent = [&](std::size_t, const MembershipEvent &event) {
-        accusations += isAccusation(event.event) ? 1 : 0;
+        suspicionEvents += isSuspicionEvent(event.event) ? 1 : 0;
     };
     fleet.run(std::chrono::hours(1));
-    LONGS_EQUAL(0, accusations);
+    LONGS_EQUAL(0, suspicionEvents);
 }
 
 // Failure: two proxies can't talk, and one of them drops out of service though everyone else reaches it.
@@ -159,11 +159,11 @@
 {
     VirtualFleet fleet(16, {}, 2);
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     std::set<std::string> reports;
-    std::size_t accusations = 0;
+    std::size_t suspicionEvents = 0;
     fleet.onEvent = [&](std::size_t node, const MembershipEvent &event) {
-        accusations += isAccusation(event.event) ? 1 : 0;
+        suspicionEvents += isSuspicionEvent(event.event) ? 1 : 0;
         if (event.event == Event::MemberOneWay) {
             reports.insert(std::to_string(node) + " on " + event.member.vm.value() + ": " + event.detail);
         }
@@ -172,7 +172,7 @@
         return from == 3 && to == 5;
     };
     fleet.run(std::chrono::minutes(2));
-    LONGS_EQUAL(0, accusations);
+    LONGS_EQUAL(0, suspicionEvents);
     CHECK_TRUE(
         (reports
          == std::set<std::string> { "3 on vm-5: doesn't hear this process", "5 on vm-3: not heard by this process" }));
@@ -182,15 +182,15 @@
 TEST(Membership, resumedProcessIsBackWithinSeconds)
 {
     VirtualFleet fleet(16, {}, 3);
-    fleet.heldLimit = 0;
+    fleet.maxQueuedMessages = 0;
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     for (std::size_t index = 1; index < 8; ++index) {
         fleet.pause(index, Seconds(20));
         fleet.run(Seconds(20));
-        LONGS_EQUAL(0, fleet.believers(index));
+        LONGS_EQUAL(0, fleet.countSeeingAlive(index));
         fleet.run(Millis(1'500));
-        LONGS_EQUAL(15, fleet.believers(index));
+        LONGS_EQUAL(15, fleet.countSeeingAlive(index));
     }
 }
 
@@ -199,11 +199,11 @@
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
-    fleet.run(Settle);
-    std::set<std::string> accused;
+    fleet.run(SettleTime);
+    std::set<std::string> suspected;
     fleet.onEvent = [&](std::size_t node, const MembershipEvent &event) {
-        if (node == 4 && isAccusation(event.event) && event.member.vm != VmName("vm-4")) {
-            accused.insert(event.member.vm.value());
+        if (node == 4 && isSuspicionEvent(event.event) && event.member.vm != VmName("vm-4")) {
+            suspected.insert(event.member.vm.value());
         }
     };
     for (int i = 0; i < 50; ++i) {
@@ -215,7 +215,7 @@
         fleet.pause(4, Millis(1'500));
         fleet.run(Seconds(3));
     }
-    LONGS_EQUAL(0, accused.size());
+    LONGS_EQUAL(0, suspected.size());
 }
 
 // Failure: a proxy that resumes declares one dead that had refuted the suspicion long ago.
@@ -223,7 +223,7 @@
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     bool cut = true;
     fleet.blocked = [&cut](std::size_t from, std::size_t to) {
         return cut && (from == 9 || to == 9);
@@ -247,7 +247,7 @@
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     fleet.kill(0);
     fleet.kill(8);
     bool cut = true;
@@ -255,10 +255,10 @@
         return cut && from / 8 != to / 8;
     };
     fleet.run(std::chrono::minutes(5));
-    LONGS_EQUAL(6, fleet.believers(3));
+    LONGS_EQUAL(6, fleet.countSeeingAlive(3));
     cut = false;
-    fleet.run(Settle);
-    CHECK_TRUE(allAgreeOnLife(fleet));
+    fleet.run(SettleTime);
+    CHECK_TRUE(allSeeEachOtherAlive(fleet));
 }
 
 // Failure: for a while after a VM was replaced, callers are sent to an address under a run that has ended.
@@ -266,11 +266,11 @@
 {
     VirtualFleet fleet(16, {}, 3);
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     const Incarnation former = fleet.node(5).self.incarnation;
     fleet.start(5);
     fleet.run(Millis(2'500));
-    LONGS_EQUAL(15, fleet.believers(5));
+    LONGS_EQUAL(15, fleet.countSeeingAlive(5));
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         for (const Member &member : fleet.node(i).membership->members()) {
             CHECK_TRUE(member.incarnation != former || member.status == MemberStatus::Dead);
@@ -283,33 +283,33 @@
 {
     VirtualFleet fleet(16, {}, 4);
     fleet.startAll();
-    fleet.run(Settle);
-    std::size_t deaf = 0;
-    std::set<std::string> accused;
+    fleet.run(SettleTime);
+    std::size_t isolated = 0;
+    std::set<std::string> suspected;
     fleet.onEvent = [&](std::size_t node, const MembershipEvent &event) {
-        if (node != deaf && isAccusation(event.event)) {
-            accused.insert(event.member.vm.value());
+        if (node != isolated && isSuspicionEvent(event.event)) {
+            suspected.insert(event.member.vm.value());
         }
     };
     for (std::size_t index = 1; index < 8; ++index) {
-        deaf = index;
-        fleet.blocked = [&deaf](std::size_t, std::size_t to) {
-            return to == deaf;
+        isolated = index;
+        fleet.blocked = [&isolated](std::size_t, std::size_t to) {
+            return to == isolated;
         };
         fleet.run(Seconds(20));
-        LONGS_EQUAL(0, fleet.believers(index));
+        LONGS_EQUAL(0, fleet.countSeeingAlive(index));
         fleet.blocked = {};
         fleet.run(Millis(1'500));
-        CHECK_TRUE(allAgreeOnLife(fleet));
+        CHECK_TRUE(allSeeEachOtherAlive(fleet));
     }
-    LONGS_EQUAL(7, accused.size());
+    LONGS_EQUAL(7, suspected.size());
 }
 
 TEST(Membership, leavingIsKnownToAllWithoutAnAccusationAndItsEndIsNoDeath)
 {
     VirtualFleet fleet(16, {}, 5);
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     std::size_t deaths = 0;
     std::size_t departures = 0;
     fleet.onEvent = [&](std::size_t, const MembershipEvent &event) {
@@ -322,7 +322,7 @@
         CHECK_TRUE(fleet.statusOf(7, i) == MemberStatus::Leaving);
     }
     fleet.kill(7);
-    fleet.run(NoticeBound);
+    fleet.run(DetectionLimit);
     LONGS_EQUAL(0, deaths);
     LONGS_EQUAL(15, departures);
 }
@@ -331,7 +331,7 @@
 {
     VirtualFleet fleet(16, {}, 6);
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     fleet.node(8).membership->updateSelf(77, false);
     fleet.run(Seconds(3));
     for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -354,7 +354,7 @@
         return size;
     };
     fleet.startAll();
-    fleet.run(Settle);
+    fleet.run(SettleTime);
     CHECK_TRUE(largest > 0);
     CHECK_TRUE(largest <= MembershipSettings {}.updateBudget + encodedSizeBound({}));
 }
@@ -377,19 +377,19 @@
 {
     constexpr std::size_t Processes = 100;
     MembershipSettings settings;
-    settings.describedPerSecond = 100;
-    settings.describedAtOnce = 150;
+    settings.descriptionsPerSecond = 100;
+    settings.descriptionBurst = 150;
     VirtualFleet fleet(Processes, settings, 9);
     fleet.startAll();
     fleet.introduceAll();
-    Membership &asked = *fleet.node(0).membership;
+    Membership &contacted = *fleet.node(0).membership;
     const Instant now = fleet.now();
-    CHECK_EQUAL(Processes, asked.answerExchange({}, now).updates.size());
-    const MemberExchange second = asked.answerExchange({}, now);
+    CHECK_EQUAL(Processes, contacted.respondToExchange({}, now).updates.size());
+    const MemberExchange second = contacted.respondToExchange({}, now);
     CHECK_EQUAL(Processes, second.liveCount);
     CHECK_EQUAL(50, second.updates.size());
-    CHECK_EQUAL(settings.describedAtLeast, asked.answerExchange({}, now).updates.size());
-    CHECK_EQUAL(100, asked.answerExchange({}, now + Millis(1'200)).updates.size());
+    CHECK_EQUAL(settings.minDescriptions, contacted.respondToExchange({}, now).updates.size());
+    CHECK_EQUAL(100, contacted.respondToExchange({}, now + Millis(1'200)).updates.size());
 }
 
 TEST(Membership, preferredSeedsAreAskedFirstAndNoneTwiceAtOnce)
@@ -401,17 +401,17 @@
     self.incarnation = 1;
     Membership membership(self, settings, 1);
     Instant now { Seconds(100) };
-    std::vector<Endpoint> asked;
+    std::vector<Endpoint> contacted;
     for (int i = 0; i < 4; ++i) {
         const std::optional<Endpoint> seed = membership.exchangeDue(now);
         if (seed) {
-            asked.push_back(*seed);
+            contacted.push_back(*seed);
         }
-        now += settings.joinRetry;
+        now += settings.joinRetryInterval;
     }
-    CHECK_EQUAL(3, asked.size());
-    CHECK_TRUE(asked[0] != settings.seeds[2] && asked[1] != settings.seeds[2] && asked[0] != asked[1]);
-    CHECK_TRUE(asked[2] == settings.seeds[2]);
+    CHECK_EQUAL(3, contacted.size());
+    CHECK_TRUE(contacted[0] != settings.seeds[2] && contacted[1] != settings.seeds[2] && contacted[0] != contacted[1]);
+    CHECK_TRUE(contacted[2] == settings.seeds[2]);
 }
 
 // Failure: for ten seconds after a loss of all power the gateways' own messages are most of what crosses their links.
@@ -419,7 +419,7 @@
 {
     constexpr std::size_t Processes = 450;
     constexpr std::size_t Envelope = 150; // bytes of a message besides its updates
-    constexpr std::size_t MostBytes = 10 * 7'000; // in ten seconds, at 7 KB a second for all control
+    constexpr std::size_t MaxBytes = 10 * 7'000; // in ten seconds, at 7 KB a second for all control
     VirtualFleet fleet(Processes, {}, 8);
     fleet.sizeOf = [](const MembershipMessage &message) {
         std::size_t size = Envelope;
@@ -434,5 +434,5 @@
     for (std::size_t i = 0; i < Processes; ++i) {
         sent += fleet.node(i).bytesSent;
     }
-    CHECK_TRUE(sent / Processes < MostBytes);
+    CHECK_TRUE(sent / Processes < MaxBytes);
 }
--- a/src/policy/overload.cpp
+++ b/src/policy/overload.cpp
@@ -14,15 +14,15 @@
 std::uint32_t OverloadControl::update(double slots, Duration averageCost, Instant now)
 {
     const double perSecond = slots / std::max(toSeconds(averageCost), 1e-6);
-    const double wanted = std::clamp(perSecond * toSeconds(m_settings.longestWait),
-                                     static_cast<double>(m_settings.leastQueue),
-                                     static_cast<double>(m_settings.mostQueue));
+    const double desired = std::clamp(perSecond * toSeconds(m_settings.maxWait),
+                                      static_cast<double>(m_settings.minQueue),
+                                      static_cast<double>(m_settings.maxQueue));
     const bool first = m_bound == 0;
-    if (first || wanted <= m_bound) {
-        m_bound = wanted;
+    if (first || desired <= m_bound) {
+        m_bound = desired;
     } else {
         const double elapsed = std::max(toSeconds(now - m_updated), 0.0);
-        m_bound = std::min(wanted, m_bound * std::exp2(elapsed / toSeconds(m_settings.growTime)));
+        m_bound = std::min(desired, m_bound * std::exp2(elapsed / toSeconds(m_settings.doublingTime)));
     }
     m_updated = now;
     return totalQueue();
@@ -30,7 +30,7 @@
 
 std::uint32_t OverloadControl::totalQueue() const
 {
-    return std::max(static_cast<std::uint32_t>(m_bound), m_settings.leastQueue);
+    return std::max(static_cast<std::uint32_t>(m_bound), m_settings.minQueue);
 }
 
 } // namespace mulberryplank
--- a/src/policy/overloadtest.cpp
+++ b/src/policy/overloadtest.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP(OverloadControl) {};
 
-TEST(OverloadControl, fullQueueIsNeverWorthMoreThanTheLongestWait)
+TEST(OverloadControl, fullQueueNeverTakesLongerThanMaxWait)
 {
     CHECK_TRUE(rc::check("bound follows capacity down at once", [] {
         const auto slots = *rc::gen::container<std::vector<int>>(20, rc::gen::inRange(0, 2'000));
@@ -19,14 +19,14 @@
             now += Millis(500);
             const std::uint32_t bound = control.update(count, Millis(20), now);
             const double wait = count == 0 ? 0 : bound * 0.02 / count;
-            RC_ASSERT(bound == settings.leastQueue || wait <= toSeconds(settings.longestWait));
-            RC_ASSERT(bound <= settings.mostQueue);
+            RC_ASSERT(bound == settings.minQueue || wait <= toSeconds(settings.maxWait));
+            RC_ASSERT(bound <= settings.maxQueue);
         }
     }));
 }
 
 // Failure: right after an outage of half of the targets ends, the service falls over again.
-TEST(OverloadControl, boundComesBackGradually)
+TEST(OverloadControl, boundGrowsBackGradually)
 {
     OverloadControl control(OverloadSettings {});
     const Instant now = Instant {} + Seconds(1);
--- /dev/null
+++ b/src/policy/peerchoice.cpp
@@ -0,0 +1,84 @@
+#include "mulberryplank/policy/peerchoice.h"
+
+#include <algorithm>
+
+namespace mulberryplank
+{
+
+namespace internal
+{
+
+namespace
+{
+
+// Removes those for which `isUndesired` holds, unless it holds for all.
+template<typename Predicate>
+void removeUnlessAll(std::vector<Member> &candidates, Predicate isUndesired)
+{
+    if (!std::all_of(candidates.begin(), candidates.end(), isUndesired)) {
+        std::erase_if(candidates, isUndesired);
+    }
+}
+
+} // namespace
+
+} // namespace internal
+
+RecentlyFailedPeers::RecentlyFailedPeers(Duration lifetime)
+    : m_lifetime(lifetime)
+{
+}
+
+void RecentlyFailedPeers::note(Incarnation peer, Instant now)
+{
+    std::erase_if(m_failedAt, [this, now](const auto &noted) {
+        return now - noted.second > m_lifetime;
+    });
+    m_failedAt[peer] = now;
+}
+
+bool RecentlyFailedPeers::contains(Incarnation peer, Instant now) const
+{
+    const auto found = m_failedAt.find(peer);
+    return found != m_failedAt.end() && now - found->second <= m_lifetime;
+}
+
+std::optional<Member> choosePeerForTargetList(const std::vector<Member> &ingressProxies,
+                                              const std::vector<Member> &members,
+                                              Incarnation self,
+                                              const RecentlyFailedPeers &failedPeers,
+                                              Instant now,
+                                              std::mt19937_64 &random)
+{
+    const bool anyIngressUsable = std::any_of(ingressProxies.begin(), ingressProxies.end(), [&](const Member &entry) {
+        return entry.incarnation != self && !failedPeers.contains(entry.incarnation, now);
+    });
+    return choosePeerForUpdate(anyIngressUsable ? ingressProxies : members, self, 0, failedPeers, now, random);
+}
+
+std::optional<Member> choosePeerForUpdate(std::vector<Member> candidates,
+                                          Incarnation self,
+                                          std::uint64_t version,
+                                          const RecentlyFailedPeers &failedPeers,
+                                          Instant now,
+                                          std::mt19937_64 &random)
+{
+    std::erase_if(candidates, [self](const Member &member) {
+        return member.incarnation == self || member.status == MemberStatus::Dead;
+    });
+    internal::removeUnlessAll(candidates, [&failedPeers, now](const Member &member) {
+        return failedPeers.contains(member.incarnation, now);
+    });
+    internal::removeUnlessAll(candidates, [version](const Member &member) {
+        return member.applied <= version;
+    });
+    if (candidates.empty()) {
+        return std::nullopt;
+    }
+    std::uniform_int_distribution<std::size_t> any(0, candidates.size() - 1);
+    const Member &one = candidates[any(random)];
+    const Member &other = candidates[any(random)];
+    return one.capacity >= other.capacity ? one : other;
+}
+
+} // namespace mulberryplank
--- /dev/null
+++ b/src/policy/peerchoicetest.cpp
@@ -0,0 +1,89 @@
+#include "mulberryplank/policy/peerchoice.h"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace mulberryplank;
+
+namespace
+{
+
+Member member(Incarnation incarnation, std::uint64_t applied, std::uint32_t capacity = 100)
+{
+    Member result;
+    result.incarnation = incarnation;
+    result.applied = applied;
+    result.capacity = capacity;
+    result.status = MemberStatus::Alive;
+    return result;
+}
+
+} // namespace
+
+TEST_GROUP(PeerChoice)
+{
+    RecentlyFailedPeers failedPeers { Seconds(2) };
+    Instant now { Seconds(100) };
+    std::mt19937_64 random { 7 };
+};
+
+// Failure: one process goes by an old configuration for five seconds.
+TEST(PeerChoice, whoHasTheVersionIsAsked)
+{
+    for (int i = 0; i < 20; ++i) {
+        const auto peer = choosePeerForUpdate(
+            { member(1, 5), member(2, 6), member(3, 5), member(4, 5) }, 9, 5, failedPeers, now, random);
+        CHECK_EQUAL(2, peer->incarnation);
+    }
+}
+
+TEST(PeerChoice, whereNobodyHasANewerOneAnybodyIsAsked)
+{
+    CHECK(choosePeerForUpdate({ member(1, 5), member(2, 4) }, 9, 5, failedPeers, now, random).has_value());
+}
+
+TEST(PeerChoice, strongOnesAreAskedMoreOften)
+{
+    int highCapacityChosen = 0;
+    for (int i = 0; i < 400; ++i) {
+        highCapacityChosen +=
+            choosePeerForUpdate({ member(1, 5, 500), member(2, 5, 100) }, 9, 4, failedPeers, now, random)->incarnation
+                    == 1
+                ? 1
+                : 0;
+    }
+    CHECK(highCapacityChosen > 250);
+    CHECK(highCapacityChosen < 350);
+}
+
+TEST(PeerChoice, neitherItselfNorTheDeadAreAsked)
+{
+    Member dead = member(1, 9);
+    dead.status = MemberStatus::Dead;
+    CHECK_FALSE(choosePeerForUpdate({ dead, member(9, 9) }, 9, 5, failedPeers, now, random).has_value());
+}
+
+TEST(PeerChoice, whoGaveNoAnswerIsNotAskedAgainForAWhile)
+{
+    failedPeers.note(1, now);
+    for (int i = 0; i < 20; ++i) {
+        const auto peer =
+            choosePeerForUpdate({ member(1, 5), member(2, 5) }, 9, 5, failedPeers, now + Seconds(1), random);
+        CHECK_EQUAL(2, peer->incarnation);
+    }
+    CHECK_FALSE(failedPeers.contains(1, now + Seconds(3)));
+}
+
+TEST(PeerChoice, whereAllGaveNoAnswerTheyAreAskedAgain)
+{
+    failedPeers.note(1, now);
+    CHECK_EQUAL(1, choosePeerForUpdate({ member(1, 5) }, 9, 5, failedPeers, now, random)->incarnation);
+}
+
+TEST(PeerChoice, listsAreAskedForAtEntriesAndElsewhereOnceNoneHelps)
+{
+    const std::vector<Member> ingressProxies { member(1, 5), member(9, 5) };
+    const std::vector<Member> members { member(1, 5), member(2, 5), member(9, 5) };
+    CHECK_EQUAL(1, choosePeerForTargetList(ingressProxies, members, 9, failedPeers, now, random)->incarnation);
+    failedPeers.note(1, now);
+    CHECK_EQUAL(2, choosePeerForTargetList(ingressProxies, members, 9, failedPeers, now, random)->incarnation);
+}
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -35,13 +35,13 @@
     return *middle;
 }
 
-// Returns how far a member is from being fit to carry: 0 is fit, Unfit never.
-constexpr int Unfit = 3;
-int unfitness(const Member &member, Offset median, Offset maxLag)
+// Returns how far a member is from being fit to carry: 0 is fit, Ineligible never.
+constexpr int Ineligible = 3;
+int eligibilityTier(const Member &member, Offset median, Offset maxLag)
 {
     switch (member.status) {
     case MemberStatus::Dead:
-        return Unfit;
+        return Ineligible;
     case MemberStatus::Suspect:
     case MemberStatus::Leaving:
         return 2;
@@ -98,13 +98,13 @@
     return -capacity / std::log(std::min(uniform, std::nextafter(1.0, 0.0)));
 }
 
-std::vector<const Member *> fittest(const std::vector<Member> &members, const PlacementSettings &settings)
+std::vector<const Member *> bestEligible(const std::vector<Member> &members, const PlacementSettings &settings)
 {
     const Offset median = medianApplied(members);
-    std::array<std::vector<const Member *>, Unfit> tiers;
+    std::array<std::vector<const Member *>, Ineligible> tiers;
     for (const Member &member : members) {
-        const int tier = unfitness(member, median, settings.maxLag);
-        if (tier < Unfit) {
+        const int tier = eligibilityTier(member, median, settings.maxLag);
+        if (tier < Ineligible) {
             tiers.at(static_cast<std::size_t>(tier)).push_back(&member);
         }
     }
@@ -114,24 +114,24 @@
     return best == tiers.end() ? std::vector<const Member *> {} : onePerVm(*best);
 }
 
-std::size_t wantedCarriers(const ServiceSize &size, const PlacementSettings &settings)
+std::size_t wantedProxyCount(const ServiceSize &size, const PlacementSettings &settings)
 {
-    const double byTargets = static_cast<double>(size.targets) / settings.targetsPerCarrier;
-    const double byRequests = size.requestsPerSecond / settings.requestsPerCarrier;
+    const double byTargets = static_cast<double>(size.targets) / settings.targetsPerProxy;
+    const double byRequests = size.requestsPerSecond / settings.requestsPerProxy;
     const double wanted = std::ceil(std::max(byTargets, byRequests));
-    return std::min(settings.maxCarriers, static_cast<std::size_t>(wanted));
+    return std::min(settings.maxAssignedProxies, static_cast<std::size_t>(wanted));
 }
 
-std::vector<Candidate> chooseCarriers(std::vector<DomainCandidates> domains,
-                                      std::size_t wanted,
-                                      const PlacementSettings &settings)
+std::vector<Candidate> chooseProxies(std::vector<DomainCandidates> domains,
+                                     std::size_t wanted,
+                                     const PlacementSettings &settings)
 {
     std::vector<Candidate> chosen;
     std::vector<Candidate> rest;
     for (DomainCandidates &candidates : domains) {
-        keepBest(candidates, std::max(wanted, settings.perFailureDomain));
-        const std::size_t sure = std::min(settings.perFailureDomain, candidates.size());
-        const auto split = candidates.begin() + static_cast<std::ptrdiff_t>(sure);
+        keepBest(candidates, std::max(wanted, settings.minPerFailureDomain));
+        const std::size_t reserved = std::min(settings.minPerFailureDomain, candidates.size());
+        const auto split = candidates.begin() + static_cast<std::ptrdiff_t>(reserved);
         chosen.insert(chosen.end(), candidates.begin(), split);
         rest.insert(rest.end(), split, candidates.end());
     }
@@ -143,14 +143,14 @@
 
 } // namespace internal
 
-std::vector<Member> carriers(const ServiceName &service,
-                             const std::vector<Member> &members,
-                             const PlacementSettings &settings,
-                             const ServiceSize &size)
+std::vector<Member> assignedProxies(const ServiceName &service,
+                                    const std::vector<Member> &members,
+                                    const PlacementSettings &settings,
+                                    const ServiceSize &size)
 {
     const std::uint64_t serviceHash = internal::placementHash(service.value());
     std::map<std::string_view, internal::DomainCandidates> byDomain;
-    for (const Member *member : internal::fittest(members, settings)) {
+    for (const Member *member : internal::bestEligible(members, settings)) {
         const double capacity = settings.capacity ? settings.capacity(*member) : 1;
         const std::uint64_t vmHash = internal::placementHash(member->vm.value());
         byDomain[member->failureDomain.value()].push_back(
@@ -161,32 +161,33 @@
         domains.push_back(std::move(candidates));
     }
     std::vector<Member> result;
-    const std::size_t wanted = internal::wantedCarriers(size, settings);
-    for (const internal::Candidate &candidate : internal::chooseCarriers(std::move(domains), wanted, settings)) {
+    const std::size_t wanted = internal::wantedProxyCount(size, settings);
+    for (const internal::Candidate &candidate : internal::chooseProxies(std::move(domains), wanted, settings)) {
         result.push_back(*candidate.member);
     }
     return result;
 }
 
-LocateAnswer locateAnswer(const std::vector<Member> &carrying,
-                          const FailureDomain &callerDomain,
-                          const PlacementSettings &settings,
-                          std::uint64_t callerSeed)
+LocateResponse locateResponse(const std::vector<Member> &assigned,
+                              const FailureDomain &callerDomain,
+                              const PlacementSettings &settings,
+                              std::uint64_t callerSeed)
 {
-    LocateAnswer answer;
-    answer.lifetime = settings.lifetime;
-    for (const Member &member : carrying) {
+    LocateResponse response;
+    response.lifetime = settings.lifetime;
+    for (const Member &member : assigned) {
         const std::uint32_t weight = member.failureDomain == callerDomain ? settings.localWeight : 1;
-        answer.entries.push_back({ member.vm, member.incarnation, member.caller, member.failureDomain, weight });
+        response.entries.push_back({ member.vm, member.incarnation, member.caller, member.failureDomain, weight });
     }
     const auto order = [callerSeed](const LocateEntry &entry) {
         const std::string &vm = entry.vm.value();
         return XXH3_64bits_withSeed(vm.data(), vm.size(), callerSeed);
     };
-    std::sort(answer.entries.begin(), answer.entries.end(), [&order](const LocateEntry &one, const LocateEntry &other) {
-        return one.weight != other.weight ? one.weight > other.weight : order(one) < order(other);
-    });
-    return answer;
+    std::sort(
+        response.entries.begin(), response.entries.end(), [&order](const LocateEntry &one, const LocateEntry &other) {
+            return one.weight != other.weight ? one.weight > other.weight : order(one) < order(other);
+        });
+    return response;
 }
 
 } // namespace mulberryplank
--- a/src/policy/placementindex.cpp
+++ b/src/policy/placementindex.cpp
@@ -12,38 +12,38 @@
 {
 
 // A newcomer with any score gets a place.
-constexpr double Always = -std::numeric_limits<double>::infinity();
+constexpr double AnyScore = -std::numeric_limits<double>::infinity();
 
 // No newcomer gets a place this way.
-constexpr double Never = std::numeric_limits<double>::infinity();
+constexpr double NoScore = std::numeric_limits<double>::infinity();
 
 // Returns true if the two say the same of where the member is and which process it is.
-bool isReachedAlike(const Member &one, const Member &other)
+bool hasSameAddresses(const Member &one, const Member &other)
 {
     return one.incarnation == other.incarnation && one.peer == other.peer && one.caller == other.caller;
 }
 
 } // namespace internal
 
-// A member that may be chosen, with the services that it carries.
+// A member that may be chosen, with the services that it assignedServices.
 struct PlacementIndex::Entry {
     Member member;
     std::uint64_t vmHash = 0;
     double capacity = 1;
     std::size_t domain = 0;
-    std::uint64_t seen = 0; // the round that last had it
-    std::vector<Placed *> carries;
+    std::uint64_t lastSeenRound = 0; // the round that last had it
+    std::vector<PlacedService *> assignedServices;
 };
 
-struct PlacementIndex::Placed {
+struct PlacementIndex::PlacedService {
     ServiceName name;
     std::uint64_t hash = 0;
     ServiceSize size;
-    std::vector<Entry *> carriers; // the strongest claim first
+    std::vector<Entry *> assignedProxies; // the strongest claim first
     std::vector<double> domainThresholds; // the least score for a place in this domain; beyond the end: any
-    double restThreshold = internal::Always; // the least score for a place that goes to any domain
+    double anyDomainThreshold = internal::AnyScore; // the least score for a place that goes to any domain
     bool dirty = false; // is to be placed again
-    bool changed = false; // its carriers are others than were last reported
+    bool changed = false; // its assignedProxies are others than were last reported
 };
 
 PlacementIndex::PlacementIndex(PlacementSettings settings)
@@ -56,14 +56,14 @@
 std::vector<ServiceName> PlacementIndex::setMembers(const std::vector<Member> &members)
 {
     ++m_round;
-    std::vector<const Member *> came;
-    for (const Member *member : internal::fittest(members, m_settings)) {
-        if (!keep(*member)) {
-            came.push_back(member);
+    std::vector<const Member *> joined;
+    for (const Member *member : internal::bestEligible(members, m_settings)) {
+        if (!updateExisting(*member)) {
+            joined.push_back(member);
         }
     }
-    dropUnseen();
-    for (const Member *member : came) {
+    removeUnseen();
+    for (const Member *member : joined) {
         add(*member);
     }
     return placeDirty();
@@ -71,7 +71,7 @@
 
 bool PlacementIndex::setService(const ServiceName &name, const ServiceSize &size)
 {
-    Placed &placed = m_services[name];
+    PlacedService &placed = m_services[name];
     placed.name = name;
     placed.hash = internal::placementHash(name.value());
     placed.size = size;
@@ -85,18 +85,18 @@
     if (found == m_services.end()) {
         return;
     }
-    for (Entry *entry : found->second.carriers) {
-        std::erase(entry->carries, &found->second);
+    for (Entry *entry : found->second.assignedProxies) {
+        std::erase(entry->assignedServices, &found->second);
     }
     m_services.erase(found);
 }
 
-std::vector<Member> PlacementIndex::carriersOf(const ServiceName &name) const
+std::vector<Member> PlacementIndex::assignedProxiesOf(const ServiceName &name) const
 {
     std::vector<Member> result;
     const auto found = m_services.find(name);
     if (found != m_services.end()) {
-        for (const Entry *entry : found->second.carriers) {
+        for (const Entry *entry : found->second.assignedProxies) {
             result.push_back(entry->member);
         }
     }
@@ -118,7 +118,7 @@
 }
 
 // Returns false if the member isn't there with the same claims, so that it has to be added.
-bool PlacementIndex::keep(const Member &member)
+bool PlacementIndex::updateExisting(const Member &member)
 {
     const auto found = m_entries.find(member.vm);
     if (found == m_entries.end()) {
@@ -128,9 +128,9 @@
     if (entry.member.failureDomain != member.failureDomain || entry.capacity != capacityOf(member)) {
         return false;
     }
-    entry.seen = m_round;
-    if (!internal::isReachedAlike(entry.member, member)) {
-        for (Placed *placed : entry.carries) {
+    entry.lastSeenRound = m_round;
+    if (!internal::hasSameAddresses(entry.member, member)) {
+        for (PlacedService *placed : entry.assignedServices) {
             placed->changed = true;
             markDirty(*placed);
         }
@@ -141,23 +141,23 @@
     return true;
 }
 
-void PlacementIndex::dropUnseen()
+void PlacementIndex::removeUnseen()
 {
     for (auto at = m_entries.begin(); at != m_entries.end();) {
-        if (at->second->seen == m_round) {
+        if (at->second->lastSeenRound == m_round) {
             ++at;
             continue;
         }
-        drop(*at->second);
+        removeMember(*at->second);
         at = m_entries.erase(at);
     }
 }
 
-// Takes the member's places. Services that it doesn't carry would choose the same carriers without it.
-void PlacementIndex::drop(Entry &entry)
+// Takes the member's places. Services that it doesn't carry would choose the same assignedProxies without it.
+void PlacementIndex::removeMember(Entry &entry)
 {
-    for (Placed *placed : entry.carries) {
-        std::erase(placed->carriers, &entry);
+    for (PlacedService *placed : entry.assignedServices) {
+        std::erase(placed->assignedProxies, &entry);
         placed->changed = true;
         markDirty(*placed);
     }
@@ -176,18 +176,18 @@
     entry->vmHash = internal::placementHash(member.vm.value());
     entry->capacity = capacityOf(member);
     entry->domain = m_domainNumbers.try_emplace(member.failureDomain, m_domains.size()).first->second;
-    entry->seen = m_round;
+    entry->lastSeenRound = m_round;
     m_domains.resize(m_domainNumbers.size());
     m_domains[entry->domain].push_back({ entry->vmHash, entry->capacity, entry.get() });
     for (auto &[name, placed] : m_services) {
-        if (!placed.dirty && mayCarry(placed, *entry)) {
+        if (!placed.dirty && mayBeAssigned(placed, *entry)) {
             markDirty(placed);
         }
     }
     m_entries[member.vm] = std::move(entry);
 }
 
-void PlacementIndex::markDirty(Placed &placed)
+void PlacementIndex::markDirty(PlacedService &placed)
 {
     if (!placed.dirty) {
         placed.dirty = true;
@@ -195,22 +195,22 @@
     }
 }
 
-// Returns false only if the service would choose the same carriers with this member as without it. Equal scores count
-// as enough, since the order of the names decides between them.
-bool PlacementIndex::mayCarry(const Placed &placed, const Entry &entry) const
+// Returns false only if the service would choose the same assignedProxies with this member as without it. Equal scores
+// count as enough, since the order of the names decides between them.
+bool PlacementIndex::mayBeAssigned(const PlacedService &placed, const Entry &entry) const
 {
-    double inDomain = internal::Always;
+    double inDomain = internal::AnyScore;
     if (entry.domain < placed.domainThresholds.size()) {
         inDomain = placed.domainThresholds[entry.domain];
     }
     const double score = internal::placementScore(placed.hash, entry.vmHash, entry.capacity);
-    return score >= std::min(inDomain, placed.restThreshold);
+    return score >= std::min(inDomain, placed.anyDomainThreshold);
 }
 
 std::vector<ServiceName> PlacementIndex::placeDirty()
 {
     std::vector<ServiceName> changed;
-    for (Placed *placed : m_dirty) {
+    for (PlacedService *placed : m_dirty) {
         place(*placed);
         if (placed->changed) {
             changed.push_back(placed->name);
@@ -223,7 +223,7 @@
     return changed;
 }
 
-void PlacementIndex::place(Placed &placed)
+void PlacementIndex::place(PlacedService &placed)
 {
     std::vector<internal::DomainCandidates> domains(m_domains.size());
     for (std::size_t number = 0; number < m_domains.size(); ++number) {
@@ -233,51 +233,51 @@
             domains[number].push_back({ &slot.entry->member, score });
         }
     }
-    const std::size_t wanted = internal::wantedCarriers(placed.size, m_settings);
+    const std::size_t wanted = internal::wantedProxyCount(placed.size, m_settings);
     std::vector<Entry *> chosen;
     std::vector<double> scores;
-    for (const internal::Candidate &candidate : internal::chooseCarriers(std::move(domains), wanted, m_settings)) {
+    for (const internal::Candidate &candidate : internal::chooseProxies(std::move(domains), wanted, m_settings)) {
         chosen.push_back(m_entries.at(candidate.member->vm).get());
         scores.push_back(candidate.score);
     }
-    if (chosen != placed.carriers) {
+    if (chosen != placed.assignedProxies) {
         placed.changed = true;
-        for (Entry *entry : placed.carriers) {
-            std::erase(entry->carries, &placed);
+        for (Entry *entry : placed.assignedProxies) {
+            std::erase(entry->assignedServices, &placed);
         }
-        placed.carriers = std::move(chosen);
-        for (Entry *entry : placed.carriers) {
-            entry->carries.push_back(&placed);
+        placed.assignedProxies = std::move(chosen);
+        for (Entry *entry : placed.assignedProxies) {
+            entry->assignedServices.push_back(&placed);
         }
     }
     setThresholds(placed, scores, wanted);
 }
 
-// The carriers come the strongest first: in each domain the first ones have its sure places, the others those that go
-// to any domain.
-void PlacementIndex::setThresholds(Placed &placed, const std::vector<double> &scores, std::size_t wanted)
+// The assignedProxies come the strongest first: in each domain the first ones have its reserved places, the others
+// those that go to any domain.
+void PlacementIndex::setThresholds(PlacedService &placed, const std::vector<double> &scores, std::size_t wanted)
 {
-    const double always = internal::Always;
-    std::vector<std::size_t> sureInDomain(m_domains.size(), 0);
-    std::size_t sure = 0;
+    const double anyScore = internal::AnyScore;
+    std::vector<std::size_t> reservedInDomain(m_domains.size(), 0);
+    std::size_t reserved = 0;
     std::size_t rest = 0;
-    placed.domainThresholds.assign(m_domains.size(), always);
-    placed.restThreshold = internal::Never;
+    placed.domainThresholds.assign(m_domains.size(), anyScore);
+    placed.anyDomainThreshold = internal::NoScore;
     for (std::size_t index = 0; index < scores.size(); ++index) {
-        const std::size_t domain = placed.carriers[index]->domain;
-        if (sureInDomain[domain] == m_settings.perFailureDomain) {
+        const std::size_t domain = placed.assignedProxies[index]->domain;
+        if (reservedInDomain[domain] == m_settings.minPerFailureDomain) {
             ++rest;
-            placed.restThreshold = scores[index];
+            placed.anyDomainThreshold = scores[index];
             continue;
         }
-        ++sure;
-        ++sureInDomain[domain];
-        if (sureInDomain[domain] == m_settings.perFailureDomain) {
+        ++reserved;
+        ++reservedInDomain[domain];
+        if (reservedInDomain[domain] == m_settings.minPerFailureDomain) {
             placed.domainThresholds[domain] = scores[index];
         }
     }
-    if (sure + rest < wanted) {
-        placed.restThreshold = internal::Always;
+    if (reserved + rest < wanted) {
+        placed.anyDomainThreshold = internal::AnyScore;
     }
 }
 
--- a/src/policy/placementindextest.cpp
+++ b/src/policy/placementindextest.cpp
@@ -13,9 +13,9 @@
 
 // At full range from the first case on: in a fleet of one or two members nothing competes.
 template<typename Number>
-Number anyFrom(Number least, Number end)
+Number anyFrom(Number lowest, Number end)
 {
-    return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(least, end));
+    return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(lowest, end));
 }
 
 // Few VMs, so that they leave and come back, and several may claim the same name.
@@ -38,7 +38,7 @@
 PlacementSettings anySettings()
 {
     PlacementSettings settings;
-    settings.perFailureDomain = anyFrom<std::size_t>(0, 4);
+    settings.minPerFailureDomain = anyFrom<std::size_t>(0, 4);
     if (*rc::gen::arbitrary<bool>()) {
         settings.capacity = [](const Member &member) {
             return 1.0 + member.peer.port;
@@ -118,17 +118,17 @@
             }
             RC_ASSERT(index.services().size() == sizes.size());
             for (const auto &[service, size] : sizes) {
-                const auto scratch = carriers(service, withoutRepeats(members), settings, size);
-                RC_ASSERT(index.carriersOf(service) == scratch);
-                const bool named = std::count(changed.begin(), changed.end(), service) == 1;
-                RC_ASSERT(named || sameProcesses(scratch, before[service]));
-                before[service] = scratch;
+                const auto expected = assignedProxies(service, withoutRepeats(members), settings, size);
+                RC_ASSERT(index.assignedProxiesOf(service) == expected);
+                const bool reported = std::count(changed.begin(), changed.end(), service) == 1;
+                RC_ASSERT(reported || sameProcesses(expected, before[service]));
+                before[service] = expected;
             }
         }
     }));
 }
 
-// Failure: with 3,600 VMs replaced a day every proxy tells all its services' carriers anew each time.
+// Failure: with 3,600 VMs replaced a day every proxy tells all its services' assignedProxies anew each time.
 TEST(PlacementIndex, memberThatOnlyAppliesMoreOrCarriesNothingChangesNothing)
 {
     PlacementIndex index({});
@@ -145,17 +145,17 @@
     CHECK_FALSE(index.setService(ServiceName("pressdesk"), {}));
     members[3].applied = 7;
     CHECK_TRUE(index.setMembers(members).empty());
-    const VmName carrier = index.carriersOf(ServiceName("pressdesk")).front().vm;
+    const VmName assignedVm = index.assignedProxiesOf(ServiceName("pressdesk")).front().vm;
     const auto other = std::find_if(members.begin(), members.end(), [&index](const Member &member) {
-        const auto carrying = index.carriersOf(ServiceName("pressdesk"));
-        return std::none_of(carrying.begin(), carrying.end(), [&member](const Member &one) {
+        const auto assigned = index.assignedProxiesOf(ServiceName("pressdesk"));
+        return std::none_of(assigned.begin(), assigned.end(), [&member](const Member &one) {
             return one.vm == member.vm;
         });
     });
     members.erase(other);
     CHECK_TRUE(index.setMembers(members).empty());
-    std::erase_if(members, [&carrier](const Member &member) {
-        return member.vm == carrier;
+    std::erase_if(members, [&assignedVm](const Member &member) {
+        return member.vm == assignedVm;
     });
     LONGS_EQUAL(1, index.setMembers(members).size());
 }
--- a/src/policy/placementtest.cpp
+++ b/src/policy/placementtest.cpp
@@ -54,22 +54,22 @@
     CHECK_TRUE(rc::check("spread, agreed, nested", [] {
         std::vector<Member> members = anyFleet();
         const auto targets = *rc::gen::inRange<std::size_t>(0, 60);
-        const auto small = carriers(PressDesk, members, {}, { targets });
-        std::map<FailureDomain, std::size_t> there;
+        const auto small = assignedProxies(PressDesk, members, {}, { targets });
+        std::map<FailureDomain, std::size_t> present;
         std::map<FailureDomain, std::size_t> chosen;
         for (const Member &member : members) {
-            ++there[member.failureDomain];
+            ++present[member.failureDomain];
         }
         for (const Member &member : small) {
             ++chosen[member.failureDomain];
         }
-        for (const auto &[domain, count] : there) {
+        for (const auto &[domain, count] : present) {
             RC_ASSERT(chosen[domain] >= std::min<std::size_t>(2, count));
         }
         RC_ASSERT(small.size() >= std::min(targets, members.size()));
-        const auto large = vmsOf(carriers(PressDesk, members, {}, { targets + 10 }));
+        const auto large = vmsOf(assignedProxies(PressDesk, members, {}, { targets + 10 }));
         std::reverse(members.begin(), members.end());
-        RC_ASSERT(carriers(PressDesk, members, {}, { targets }) == small);
+        RC_ASSERT(assignedProxies(PressDesk, members, {}, { targets }) == small);
         const auto smallVms = vmsOf(small);
         RC_ASSERT(std::includes(large.begin(), large.end(), smallVms.begin(), smallVms.end()));
     }));
@@ -79,12 +79,12 @@
 {
     CHECK_TRUE(rc::check("least movement", [] {
         std::vector<Member> members = anyFleet();
-        const auto before = vmsOf(carriers(PressDesk, members, {}, { 8 }));
+        const auto before = vmsOf(assignedProxies(PressDesk, members, {}, { 8 }));
         const auto index = *rc::gen::inRange<std::size_t>(0, members.size());
-        const VmName gone = members[index].vm;
+        const VmName removed = members[index].vm;
         members.erase(members.begin() + static_cast<std::ptrdiff_t>(index));
         for (const VmName &vm : before) {
-            RC_ASSERT(vm == gone || vmsOf(carriers(PressDesk, members, {}, { 8 })).count(vm) == 1);
+            RC_ASSERT(vm == removed || vmsOf(assignedProxies(PressDesk, members, {}, { 8 })).count(vm) == 1);
         }
     }));
 }
@@ -94,16 +94,16 @@
 {
     CHECK_TRUE(rc::check("fit before unfit", [] {
         std::vector<Member> members = anyFleet();
-        bool someFit = false;
+        bool anyEligible = false;
         for (std::size_t i = 0; i < members.size(); ++i) {
             members[i].status = *rc::gen::element(
                 MemberStatus::Alive, MemberStatus::Suspect, MemberStatus::Leaving, MemberStatus::Dead);
             members[i].ready = *rc::gen::arbitrary<bool>();
-            someFit = someFit || (members[i].status == MemberStatus::Alive && members[i].ready);
+            anyEligible = anyEligible || (members[i].status == MemberStatus::Alive && members[i].ready);
         }
-        for (const Member &member : carriers(PressDesk, members, {})) {
+        for (const Member &member : assignedProxies(PressDesk, members, {})) {
             RC_ASSERT(member.status != MemberStatus::Dead);
-            RC_ASSERT(!someFit || (member.status == MemberStatus::Alive && member.ready));
+            RC_ASSERT(!anyEligible || (member.status == MemberStatus::Alive && member.ready));
         }
     }));
 }
@@ -116,7 +116,7 @@
     }
     members[0].applied = 3'999;
     members[1].applied = 1'000'000;
-    const auto vms = vmsOf(carriers(PressDesk, members, {}, { 10 }));
+    const auto vms = vmsOf(assignedProxies(PressDesk, members, {}, { 10 }));
     LONGS_EQUAL(5, vms.size());
     CHECK_FALSE(vms.count(members[0].vm) == 1);
 }
@@ -127,11 +127,12 @@
     for (std::size_t i = 0; i < 12; ++i) {
         members.push_back(memberOf(i, 3));
     }
-    const LocateAnswer answer = locateAnswer(carriers(PressDesk, members, {}), FailureDomain("hall-1"), {}, 1);
-    LONGS_EQUAL(6, answer.entries.size());
-    CHECK_TRUE(answer.entries[0].failureDomain == FailureDomain("hall-1"));
-    CHECK_TRUE(answer.entries[1].failureDomain == FailureDomain("hall-1"));
-    CHECK_TRUE(answer.entries[1].weight > answer.entries[2].weight);
+    const LocateResponse response =
+        locateResponse(assignedProxies(PressDesk, members, {}), FailureDomain("hall-1"), {}, 1);
+    LONGS_EQUAL(6, response.entries.size());
+    CHECK_TRUE(response.entries[0].failureDomain == FailureDomain("hall-1"));
+    CHECK_TRUE(response.entries[1].failureDomain == FailureDomain("hall-1"));
+    CHECK_TRUE(response.entries[1].weight > response.entries[2].weight);
 }
 
 // Failure: one process counts every other as unfit and takes the whole fleet's budget for itself.
@@ -140,7 +141,7 @@
     std::vector<Member> members = { memberOf(0, 1), memberOf(1, 1), memberOf(2, 1) };
     members[0].applied = 7;
     PlacementSettings settings;
-    settings.perFailureDomain = 3;
+    settings.minPerFailureDomain = 3;
     settings.maxLag = std::numeric_limits<Offset>::max();
-    CHECK_EQUAL(3, carriers(PressDesk, members, settings).size());
+    CHECK_EQUAL(3, assignedProxies(PressDesk, members, settings).size());
 }
--- a/src/policy/probeplan.cpp
+++ b/src/policy/probeplan.cpp
@@ -20,20 +20,22 @@
 {
 }
 
-std::vector<PeerId> ProbePlan::probers(const std::vector<PeerId> &carriers, TargetId target, bool viewsDisagree) const
+std::vector<PeerId> ProbePlan::probers(const std::vector<PeerId> &assignedProxies,
+                                       TargetId target,
+                                       bool viewsDisagree) const
 {
-    std::vector<PeerId> ranked = carriers;
+    std::vector<PeerId> ranked = assignedProxies;
     const auto score = [target](const PeerId &peer) {
         return XXH64(&target, sizeof target, peerKey(peer));
     };
-    const std::size_t wanted = std::min<std::size_t>(viewsDisagree ? 2 : 1, ranked.size());
+    const std::size_t count = std::min<std::size_t>(viewsDisagree ? 2 : 1, ranked.size());
     std::partial_sort(ranked.begin(),
-                      ranked.begin() + static_cast<std::ptrdiff_t>(wanted),
+                      ranked.begin() + static_cast<std::ptrdiff_t>(count),
                       ranked.end(),
                       [&score](const PeerId &left, const PeerId &right) {
                           return score(left) > score(right);
                       });
-    ranked.resize(wanted);
+    ranked.resize(count);
     return ranked;
 }
 
--- a/src/policy/probeplantest.cpp
+++ b/src/policy/probeplantest.cpp
@@ -9,33 +9,33 @@
 
 TEST_GROUP(ProbePlan) {};
 
-TEST(ProbePlan, keepsTheLoadOfAllProbesUnderItsShareForAnyNumberOfProxies)
+TEST(ProbePlan, staysWithinTheLoadShareForAnyNumberOfProxies)
 {
     CHECK_TRUE(rc::check("load", [](bool disagree) {
         const ProbePlanSettings settings;
         const ProbePlan plan(settings);
         const int count = *rc::gen::element(1, 2, 6, 32, 6'600);
-        std::vector<PeerId> carriers;
+        std::vector<PeerId> assignedProxies;
         for (int index = 0; index < count; ++index) {
-            carriers.push_back({ VmName { std::to_string(index) }, 1 });
+            assignedProxies.push_back({ VmName { std::to_string(index) }, 1 });
         }
-        const std::size_t probers = plan.probers(carriers, 7, disagree).size();
+        const std::size_t probers = plan.probers(assignedProxies, 7, disagree).size();
         RC_ASSERT(probers == (disagree && count > 1 ? 2U : 1U));
         const double busy = static_cast<double>(probers) * toSeconds(settings.cost) / toSeconds(plan.interval(probers));
         RC_ASSERT(busy / settings.slotsPerTarget < settings.loadShare);
     }));
 }
 
-TEST(ProbePlan, changesNoProberWhenAnotherCarrierGoes)
+TEST(ProbePlan, keepsTheProberWhenAnotherAssignedProxyLeaves)
 {
     CHECK_TRUE(rc::check("stable", [](TargetId target, std::uint8_t count) {
         const ProbePlan plan({});
-        std::vector<PeerId> carriers;
+        std::vector<PeerId> assignedProxies;
         for (int index = 0; index < 2 + count; ++index) {
-            carriers.push_back({ VmName { std::to_string(index) }, 1 });
+            assignedProxies.push_back({ VmName { std::to_string(index) }, 1 });
         }
-        const PeerId prober = plan.probers(carriers, target, false).front();
-        carriers.erase(carriers.begin() + (carriers.front() == prober ? 1 : 0));
-        RC_ASSERT(plan.probers(carriers, target, false).front() == prober);
+        const PeerId prober = plan.probers(assignedProxies, target, false).front();
+        assignedProxies.erase(assignedProxies.begin() + (assignedProxies.front() == prober ? 1 : 0));
+        RC_ASSERT(plan.probers(assignedProxies, target, false).front() == prober);
     }));
 }
--- a/src/policy/ratelimit.cpp
+++ b/src/policy/ratelimit.cpp
@@ -11,7 +11,7 @@
 // Rounding must not turn an earned token into 0.9999999.
 constexpr double TokenTolerance = 1e-9;
 
-constexpr double LongestWaitSeconds = 3'600;
+constexpr double MaxWaitSeconds = 3'600;
 
 } // namespace internal
 
@@ -41,7 +41,7 @@
         return Duration::zero();
     }
     const double seconds = (1 - tokensAt(now)) / m_rate;
-    return fromSeconds(std::min(seconds, internal::LongestWaitSeconds));
+    return fromSeconds(std::min(seconds, internal::MaxWaitSeconds));
 }
 
 double TokenBucket::tokensAt(Instant now) const
--- a/src/policy/recordtail.cpp
+++ b/src/policy/recordtail.cpp
@@ -23,17 +23,17 @@
     }
 }
 
-std::optional<ConfigNews> RecordTail::since(Offset from) const
+std::optional<ConfigUpdate> RecordTail::since(Offset from) const
 {
     const Offset first = m_next - m_entries.size();
     if (from < first || from >= m_next) {
         return std::nullopt;
     }
-    ConfigNews news { from, m_entries[from - first].before, {} };
+    ConfigUpdate update { from, m_entries[from - first].before, {} };
     for (std::size_t index = from - first; index < m_entries.size(); ++index) {
-        news.records.push_back(m_entries[index].record);
+        update.records.push_back(m_entries[index].record);
     }
-    return news;
+    return update;
 }
 
 } // namespace mulberryplank
--- a/src/policy/requestcheck.cpp
+++ b/src/policy/requestcheck.cpp
@@ -32,7 +32,7 @@
     return equalsIgnoringCase(text.substr(0, lowerCase.size()), lowerCase);
 }
 
-std::string_view withoutBlanks(std::string_view text)
+std::string_view trimBlanks(std::string_view text)
 {
     constexpr std::string_view Blank = " \t";
     const std::size_t first = text.find_first_not_of(Blank);
@@ -58,7 +58,7 @@
     return !text.empty() && text.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-Result<void> refuse(const char *what)
+Result<void> reject(const char *what)
 {
     return failure(ErrorKind::BadRequest, what);
 }
@@ -66,21 +66,21 @@
 Result<void> checkField(std::string_view line, FramingFields &fields)
 {
     if (line.front() == ' ' || line.front() == '\t') {
-        return refuse("header line continued on the next (obs-fold)");
+        return reject("header line continued on the next (obs-fold)");
     }
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || colon == 0) {
-        return refuse("header line without a name");
+        return reject("header line without a name");
     }
     const std::string_view name = line.substr(0, colon);
     if (name.find_first_of(" \t") != std::string_view::npos) {
-        return refuse("whitespace in or behind a header name");
+        return reject("whitespace in or behind a header name");
     }
-    const std::string_view value = withoutBlanks(line.substr(colon + 1));
+    const std::string_view value = trimBlanks(line.substr(colon + 1));
     if (equalsIgnoringCase(name, "content-length")) {
         ++fields.contentLengths;
         if (!isDigits(value)) {
-            return refuse("Content-Length is not one whole number");
+            return reject("Content-Length is not one whole number");
         }
     } else if (equalsIgnoringCase(name, "transfer-encoding")) {
         ++fields.transferEncodings;
@@ -99,22 +99,22 @@
     const std::size_t start = line.find(' ');
     const std::size_t end = line.rfind(' ');
     if (start == std::string_view::npos || start == end) {
-        return refuse("malformed request line");
+        return reject("malformed request line");
     }
     const std::string_view target = line.substr(start + 1, end - start - 1);
     if (fields.transferEncodings > 0 && line.substr(end + 1) != "HTTP/1.1") {
-        return refuse("Transfer-Encoding needs HTTP/1.1");
+        return reject("Transfer-Encoding needs HTTP/1.1");
     }
     if (target.starts_with('/') || target == "*") {
         return {};
     }
     if (!startsIgnoringCase(target, Scheme)) {
-        return refuse("request target is neither a path nor an http address");
+        return reject("request target is neither a path nor an http address");
     }
     const std::string_view rest = target.substr(Scheme.size());
     const std::string_view authority = rest.substr(0, rest.find_first_of("/?#"));
     if (authority != fields.host) {
-        return refuse("request target and Host differ");
+        return reject("request target and Host differ");
     }
     return {};
 }
@@ -122,16 +122,16 @@
 Result<void> checkFraming(const FramingFields &fields)
 {
     if (fields.hosts != 1) {
-        return refuse("there must be exactly one Host");
+        return reject("there must be exactly one Host");
     }
     if (fields.contentLengths > 1) {
-        return refuse("more than one Content-Length");
+        return reject("more than one Content-Length");
     }
     if (fields.contentLengths > 0 && fields.transferEncodings > 0) {
-        return refuse("Content-Length together with Transfer-Encoding");
+        return reject("Content-Length together with Transfer-Encoding");
     }
     if (fields.transferEncodings > 1 || (fields.transferEncodings == 1 && !fields.chunked)) {
-        return refuse("Transfer-Encoding other than chunked");
+        return reject("Transfer-Encoding other than chunked");
     }
     return {};
 }
@@ -140,16 +140,16 @@
 
 std::optional<std::size_t> headerBlockLength(std::string_view buffered)
 {
-    std::size_t feed = buffered.find('\n');
-    while (feed != std::string_view::npos) {
-        const std::string_view rest = buffered.substr(feed + 1);
+    std::size_t lineFeed = buffered.find('\n');
+    while (lineFeed != std::string_view::npos) {
+        const std::string_view rest = buffered.substr(lineFeed + 1);
         if (rest.starts_with('\n')) {
-            return feed + 2;
+            return lineFeed + 2;
         }
         if (rest.starts_with(internal::LineEnd)) {
-            return feed + 1 + internal::LineEnd.size();
+            return lineFeed + 1 + internal::LineEnd.size();
         }
-        feed = buffered.find('\n', feed + 1);
+        lineFeed = buffered.find('\n', lineFeed + 1);
     }
     return std::nullopt;
 }
@@ -159,18 +159,18 @@
     internal::FramingFields fields;
     std::string_view requestLine;
     while (true) {
-        const std::size_t feed = block.find('\n');
-        if (feed == std::string_view::npos || feed == 0 || block[feed - 1] != '\r') {
-            return internal::refuse("line that doesn't end in CRLF");
+        const std::size_t lineFeed = block.find('\n');
+        if (lineFeed == std::string_view::npos || lineFeed == 0 || block[lineFeed - 1] != '\r') {
+            return internal::reject("line that doesn't end in CRLF");
         }
-        const std::string_view line = block.substr(0, feed - 1);
-        block.remove_prefix(feed + 1);
+        const std::string_view line = block.substr(0, lineFeed - 1);
+        block.remove_prefix(lineFeed + 1);
         if (internal::hasControl(line)) {
-            return internal::refuse("control character in the header");
+            return internal::reject("control character in the header");
         }
         if (requestLine.empty()) {
             if (line.empty()) {
-                return internal::refuse("empty line before the request");
+                return internal::reject("empty line before the request");
             }
             requestLine = line;
             continue;
@@ -183,7 +183,7 @@
         }
     }
     if (!block.empty()) {
-        return internal::refuse("bytes behind the header");
+        return internal::reject("bytes behind the header");
     }
     if (Result<void> checked = internal::checkFraming(fields); !checked) {
         return checked;
--- a/src/policy/attempts.cpp
+++ b/src/policy/requestplan.cpp
@@ -1,4 +1,4 @@
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 namespace mulberryplank
 {
 
-RequestPlan::RequestPlan(PlanSettings settings, std::function<bool()> spendRetry)
+RequestPlan::RequestPlan(RequestPlanSettings settings, std::function<bool()> spendRetry)
     : m_settings(std::move(settings))
     , m_spendRetry(std::move(spendRetry))
     , m_random(m_settings.seed)
@@ -20,45 +20,46 @@
     return steps;
 }
 
-void RequestPlan::onTarget(AttemptNumber attempt, TargetIndex target, bool reusedConnection, Instant now)
+void RequestPlan::onTargetSelected(AttemptNumber attempt, TargetIndex target, bool reusedConnection, Instant now)
 {
-    Running *running = find(attempt);
+    RunningAttempt *running = find(attempt);
     if (running == nullptr || running->target) {
         return;
     }
     running->target = target;
     running->reusedConnection = reusedConnection;
-    if (m_phase == Phase::Passing) {
+    if (m_phase == Phase::Forwarding) {
         running->timeoutAt = now + std::min(m_settings.progressTimeout, m_settings.deadline.remaining(now));
         return;
     }
-    const std::uint32_t attemptsLeft = m_settings.idempotent ? m_settings.mostAttempts - m_tries + 1 : 1;
+    const std::uint32_t attemptsLeft =
+        m_settings.idempotent ? m_settings.maxAttempts - m_attemptsWithoutResumes + 1 : 1;
     running->timeoutAt = now + attemptTimeout(m_settings.deadline.remaining(now), attemptsLeft);
     if (m_settings.hedgeDelay) {
         running->hedgeAt = now + *m_settings.hedgeDelay;
     }
 }
 
-Steps RequestPlan::onNoTarget(AttemptNumber attempt, ErrorKind why, int retryAfterSeconds)
+Steps RequestPlan::onNoTarget(AttemptNumber attempt, ErrorKind error, int retryAfterSeconds)
 {
     Steps steps;
     if (find(attempt) == nullptr) {
         return steps;
     }
     remove(attempt, true);
-    m_notRunKind = why;
+    m_notRunError = error;
     m_retryAfterSeconds = std::max(m_retryAfterSeconds, retryAfterSeconds);
-    if (m_phase == Phase::Passing) {
+    if (m_phase == Phase::Forwarding) {
         abortCaller(steps);
     } else if (m_running.empty() && !m_retryAt) {
-        giveUp(steps);
+        respondWithError(steps);
     }
     return steps;
 }
 
 bool RequestPlan::onSending(AttemptNumber attempt)
 {
-    Running *running = find(attempt);
+    RunningAttempt *running = find(attempt);
     if (running == nullptr) {
         return false;
     }
@@ -66,79 +67,79 @@
     return true;
 }
 
-void RequestPlan::onRequestBodyDropped()
+void RequestPlan::onRequestBodyDiscarded()
 {
-    m_bodyDropped = true;
+    m_requestBodyDiscarded = true;
 }
 
 Steps RequestPlan::onFailed(AttemptNumber attempt, AttemptResult result, Instant now)
 {
     Steps steps;
-    Running *running = find(attempt);
+    RunningAttempt *running = find(attempt);
     if (running == nullptr) {
         return steps;
     }
-    if (m_phase == Phase::Passing && m_progress->complete()) {
+    if (m_phase == Phase::Forwarding && m_progress->complete()) {
         // Nothing is missing: the answer ends when its last bytes have been passed on.
-        m_overrun = true;
+        m_receivedExcessBytes = true;
         return steps;
     }
     // A pooled connection that something in between has forgotten fails on use though its target is well. One fresh
     // connection tells the two apart; without it a healthy target would be blamed and the request lost.
-    const bool repeatable = (m_settings.idempotent || !running->bytesSent) && !m_bodyDropped;
+    const bool repeatable = (m_settings.idempotent || !running->bytesSent) && !m_requestBodyDiscarded;
     const bool stale = result == AttemptResult::Reset && running->reusedConnection && running->target;
     if (m_phase == Phase::Waiting && stale && repeatable && !m_reconnected && !m_settings.deadline.passed(now)) {
         m_reconnected = true;
         const std::optional<TargetIndex> target = running->target;
         remove(attempt, false);
-        --m_tries;
+        --m_attemptsWithoutResumes;
         startAttempt(target, false, steps);
         return steps;
     }
-    noteFailure(*running, result);
+    recordFailure(*running, result);
     remove(attempt, false);
     afterFailure(now, steps);
     return steps;
 }
 
-Steps RequestPlan::onHeader(AttemptNumber attempt, const AnswerHeader &header, Instant now)
+Steps RequestPlan::onHeader(AttemptNumber attempt, const ResponseSummary &header, Instant now)
 {
     Steps steps;
-    Running *running = find(attempt);
-    if (running == nullptr || (m_phase == Phase::Passing && attempt == m_passing)) {
+    RunningAttempt *running = find(attempt);
+    if (running == nullptr || (m_phase == Phase::Forwarding && attempt == m_forwardedAttempt)) {
         return steps;
     }
     if (isMismatch(attempt, header)) {
         fail(*running, AttemptResult::Mismatched, now, steps);
-    } else if (m_phase == Phase::Passing) {
-        judgeRest(*running, header, now, steps);
+    } else if (m_phase == Phase::Forwarding) {
+        evaluateResumeHeader(*running, header, now, steps);
     } else {
-        judgeHeader(*running, header, now, steps);
+        evaluateHeader(*running, header, now, steps);
     }
     return steps;
 }
 
 std::uint64_t RequestPlan::onBody(AttemptNumber attempt, std::uint64_t bytes)
 {
-    if (m_phase != Phase::Passing || attempt != m_passing || find(attempt) == nullptr) {
+    if (m_phase != Phase::Forwarding || attempt != m_forwardedAttempt || find(attempt) == nullptr) {
         return 0;
     }
-    const std::uint64_t taken = m_progress->accept(bytes);
-    m_overrun = m_overrun || taken < bytes;
-    m_stallAt.reset();
-    return taken;
+    const std::uint64_t accepted = m_progress->accept(bytes);
+    m_receivedExcessBytes = m_receivedExcessBytes || accepted < bytes;
+    m_stallTimeoutAt.reset();
+    return accepted;
 }
 
-Steps RequestPlan::onPassedOn(AttemptNumber attempt, Instant now)
+Steps RequestPlan::onForwarded(AttemptNumber attempt, Instant now)
 {
     Steps steps;
-    if (m_phase != Phase::Passing || attempt != m_passing || find(attempt) == nullptr) {
+    if (m_phase != Phase::Forwarding || attempt != m_forwardedAttempt || find(attempt) == nullptr) {
         return steps;
     }
     if (m_progress->complete()) {
         finish(steps);
     } else {
-        m_stallAt = now + m_settings.progressTimeout;
+        m_stallTimeoutAt = now + m_settings.progressTimeout;
     }
     return steps;
 }
@@ -146,11 +147,11 @@
 Steps RequestPlan::onBodyEnd(AttemptNumber attempt, Instant now)
 {
     Steps steps;
-    Running *running = find(attempt);
-    if (m_phase != Phase::Passing || attempt != m_passing || running == nullptr) {
+    RunningAttempt *running = find(attempt);
+    if (m_phase != Phase::Forwarding || attempt != m_forwardedAttempt || running == nullptr) {
         return steps;
     }
-    if (m_progress->endIsTrue()) {
+    if (m_progress->isCompleteAtEnd()) {
         finish(steps);
     } else {
         fail(*running, AttemptResult::Truncated, now, steps);
@@ -161,12 +162,12 @@
 Steps RequestPlan::onTargetDraining(AttemptNumber attempt, Instant now)
 {
     Steps steps;
-    Running *running = find(attempt);
+    RunningAttempt *running = find(attempt);
     if (m_phase != Phase::Waiting || running == nullptr || running->bytesSent) {
         return steps;
     }
-    noteFailure(*running, AttemptResult::Cancelled);
-    m_notRunKind = ErrorKind::NoTarget;
+    recordFailure(*running, AttemptResult::Cancelled);
+    m_notRunError = ErrorKind::NoTarget;
     cancel(attempt, AttemptResult::Cancelled, steps);
     if (!m_running.empty() || m_retryAt) {
         return steps;
@@ -174,12 +175,12 @@
     if (mayStartAgain(now)) {
         startAttempt(std::nullopt, false, steps);
     } else {
-        giveUp(steps);
+        respondWithError(steps);
     }
     return steps;
 }
 
-Steps RequestPlan::onCallerGone()
+Steps RequestPlan::onCallerDisconnected()
 {
     Steps steps;
     if (m_phase != Phase::Done) {
@@ -196,8 +197,8 @@
     }
     Instant next = m_settings.deadline.at();
     next = std::min(next, m_retryAt.value_or(next));
-    next = std::min(next, m_stallAt.value_or(next));
-    for (const Running &running : m_running) {
+    next = std::min(next, m_stallTimeoutAt.value_or(next));
+    for (const RunningAttempt &running : m_running) {
         next = std::min(next, running.timeoutAt);
     }
     if (hedgePossible()) {
@@ -216,13 +217,13 @@
         onDeadline(steps);
     } else if (m_retryAt && now >= *m_retryAt) {
         m_retryAt.reset();
-        if (m_phase == Phase::Passing) {
+        if (m_phase == Phase::Forwarding) {
             startResume(steps);
         } else {
             startAttempt(std::nullopt, false, steps);
         }
-    } else if (m_stallAt && now >= *m_stallAt) {
-        fail(*find(m_passing), AttemptResult::Stalled, now, steps);
+    } else if (m_stallTimeoutAt && now >= *m_stallTimeoutAt) {
+        fail(*find(m_forwardedAttempt), AttemptResult::Stalled, now, steps);
     } else if (!onAttemptTimeout(now, steps) && hedgePossible() && now >= *m_running.front().hedgeAt) {
         m_hedgeRefused = !m_spendRetry();
         if (!m_hedgeRefused) {
@@ -249,10 +250,10 @@
 
 Outcome RequestPlan::outcome() const
 {
-    if (m_answered) {
+    if (m_finished) {
         return Outcome::Answered;
     }
-    const bool sent = std::any_of(m_running.begin(), m_running.end(), [](const Running &running) {
+    const bool sent = std::any_of(m_running.begin(), m_running.end(), [](const RunningAttempt &running) {
         return running.bytesSent;
     });
     return m_mayHaveRun || sent ? Outcome::Unknown : Outcome::NotRun;
--- a/src/policy/attemptsteps.cpp
+++ b/src/policy/requestplansteps.cpp
@@ -1,5 +1,5 @@
 // The decisions behind the events of RequestPlan; attempts.cpp has the events themselves.
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 #include <algorithm>
 
@@ -12,23 +12,23 @@
 constexpr int FirstErrorStatus = 400;
 constexpr int FirstServerErrorStatus = 500;
 constexpr int StatusNotImplemented = 501; // says something of the request, not of the target
-constexpr int LeastRetryAfterSeconds = 1;
+constexpr int MinRetryAfterSeconds = 1;
 
-bool isShed(const AnswerHeader &header)
+bool isShed(const ResponseSummary &header)
 {
     return header.notRun && header.body.status >= FirstErrorStatus;
 }
 
-bool isServerError(const AnswerHeader &header)
+bool isServerError(const ResponseSummary &header)
 {
     return header.body.status >= FirstServerErrorStatus && header.body.status != StatusNotImplemented;
 }
 
 } // namespace internal
 
-RequestPlan::Running *RequestPlan::find(AttemptNumber attempt)
+RequestPlan::RunningAttempt *RequestPlan::find(AttemptNumber attempt)
 {
-    const auto found = std::find_if(m_running.begin(), m_running.end(), [attempt](const Running &running) {
+    const auto found = std::find_if(m_running.begin(), m_running.end(), [attempt](const RunningAttempt &running) {
         return running.number == attempt;
     });
     return found == m_running.end() ? nullptr : &*found;
@@ -37,7 +37,8 @@
 // The guard of "run at most once": a request that isn't idempotent is only started again while outcome() is NotRun.
 bool RequestPlan::mayStartAgain(Instant now) const
 {
-    if (m_tries >= m_settings.mostAttempts || m_bodyDropped || m_settings.deadline.passed(now)) {
+    if (m_attemptsWithoutResumes >= m_settings.maxAttempts || m_requestBodyDiscarded
+        || m_settings.deadline.passed(now)) {
         return false;
     }
     return m_settings.idempotent || outcome() == Outcome::NotRun;
@@ -45,15 +46,15 @@
 
 bool RequestPlan::hedgePossible() const
 {
-    const bool oneWaits = m_phase == Phase::Waiting && m_running.size() == 1 && !m_retryAt;
-    return oneWaits && m_settings.idempotent && !m_hedgeRefused && !m_bodyDropped && m_running.front().hedgeAt
-           && m_tries < m_settings.mostAttempts;
+    const bool singlePending = m_phase == Phase::Waiting && m_running.size() == 1 && !m_retryAt;
+    return singlePending && m_settings.idempotent && !m_hedgeRefused && !m_requestBodyDiscarded
+           && m_running.front().hedgeAt && m_attemptsWithoutResumes < m_settings.maxAttempts;
 }
 
-bool RequestPlan::isMismatch(AttemptNumber attempt, const AnswerHeader &header) const
+bool RequestPlan::isMismatch(AttemptNumber attempt, const ResponseSummary &header) const
 {
     if (!header.requestId) {
-        return header.mustEcho;
+        return header.echoesRequestId;
     }
     return *header.requestId != attemptRequestId(attempt);
 }
@@ -61,7 +62,7 @@
 // A caller with a deadline of its own could otherwise have healthy targets blamed by asking for the impossible.
 AttemptResult RequestPlan::timeoutResult() const
 {
-    return m_settings.deadlineIsCallers ? AttemptResult::Cancelled : AttemptResult::Timeout;
+    return m_settings.deadlineFromCaller ? AttemptResult::Cancelled : AttemptResult::Timeout;
 }
 
 void RequestPlan::startAttempt(std::optional<TargetIndex> sameTarget, bool hedge, Steps &steps)
@@ -69,10 +70,10 @@
     if (hedge && m_running.front().target) {
         m_excluded.push_back(*m_running.front().target);
     }
-    Running running;
+    RunningAttempt running;
     running.number = m_started++;
     running.timeoutAt = m_settings.deadline.at();
-    ++m_tries;
+    ++m_attemptsWithoutResumes;
     m_running.push_back(running);
     Step step;
     step.kind = StepKind::Start;
@@ -84,7 +85,7 @@
 
 void RequestPlan::startResume(Steps &steps)
 {
-    Running running;
+    RunningAttempt running;
     running.number = m_started++;
     running.timeoutAt = m_settings.deadline.at();
     m_running.push_back(running);
@@ -109,7 +110,7 @@
 
 void RequestPlan::remove(AttemptNumber attempt, bool notRun)
 {
-    const Running *running = find(attempt);
+    const RunningAttempt *running = find(attempt);
     m_mayHaveRun = m_mayHaveRun || (running->bytesSent && !notRun);
     m_running.erase(m_running.begin() + (running - m_running.data()));
 }
@@ -130,24 +131,24 @@
         cancel(m_running.back().number, result, steps);
     }
     m_retryAt.reset();
-    m_stallAt.reset();
+    m_stallTimeoutAt.reset();
 }
 
-void RequestPlan::noteFailure(const Running &attempt, AttemptResult result)
+void RequestPlan::recordFailure(const RunningAttempt &attempt, AttemptResult result)
 {
     if (attempt.target) {
         m_excluded.push_back(*attempt.target);
     }
     if (result == AttemptResult::Shed) {
-        m_notRunKind = ErrorKind::TargetShed;
+        m_notRunError = ErrorKind::TargetShed;
     } else if (attempt.bytesSent) {
-        m_unknownKind = unknownOutcomeKind(result);
+        m_unknownOutcomeError = unknownOutcomeKind(result);
     } else {
-        m_notRunKind = ErrorKind::ConnectFailed;
+        m_notRunError = ErrorKind::ConnectFailed;
     }
 }
 
-void RequestPlan::judgeHeader(Running &attempt, const AnswerHeader &header, Instant now, Steps &steps)
+void RequestPlan::evaluateHeader(RunningAttempt &attempt, const ResponseSummary &header, Instant now, Steps &steps)
 {
     if (internal::isShed(header)) {
         m_retryAfterSeconds = std::max(m_retryAfterSeconds, header.retryAfterSeconds);
@@ -160,21 +161,24 @@
         return;
     }
     const bool retryable = internal::isServerError(header) && m_settings.idempotent;
-    const bool otherWaits = m_running.size() > 1;
-    if (retryable && (otherWaits || (mayStartAgain(now) && scheduleStart(now)))) {
-        noteFailure(attempt, AttemptResult::ServerError);
+    const bool otherPending = m_running.size() > 1;
+    if (retryable && (otherPending || (mayStartAgain(now) && scheduleStart(now)))) {
+        recordFailure(attempt, AttemptResult::ServerError);
         cancel(attempt.number, AttemptResult::ServerError, steps);
         return;
     }
     accept(attempt, header, steps);
 }
 
-void RequestPlan::judgeRest(Running &attempt, const AnswerHeader &header, Instant now, Steps &steps)
+void RequestPlan::evaluateResumeHeader(RunningAttempt &attempt,
+                                       const ResponseSummary &header,
+                                       Instant now,
+                                       Steps &steps)
 {
-    if (m_progress->continues(header.body)) {
-        m_passing = attempt.number;
+    if (m_progress->isContinuedBy(header.body)) {
+        m_forwardedAttempt = attempt.number;
         attempt.timeoutAt = m_settings.deadline.at();
-        m_stallAt = now + m_settings.progressTimeout;
+        m_stallTimeoutAt = now + m_settings.progressTimeout;
         Step step;
         step.kind = StepKind::ContinueBody;
         step.attempt = attempt.number;
@@ -189,36 +193,36 @@
     }
 }
 
-void RequestPlan::accept(Running &attempt, const AnswerHeader &header, Steps &steps)
+void RequestPlan::accept(RunningAttempt &attempt, const ResponseSummary &header, Steps &steps)
 {
-    m_phase = Phase::Passing;
-    m_passing = attempt.number;
+    m_phase = Phase::Forwarding;
+    m_forwardedAttempt = attempt.number;
     m_retryAt.reset();
     m_progress.emplace(header.body);
     while (m_running.size() > 1) {
-        const bool frontWins = m_running.front().number == m_passing;
+        const bool frontWins = m_running.front().number == m_forwardedAttempt;
         cancel(frontWins ? m_running.back().number : m_running.front().number, AttemptResult::Cancelled, steps);
     }
     m_running.front().timeoutAt = m_settings.deadline.at();
     Step step;
-    step.kind = StepKind::PassHeader;
-    step.attempt = m_passing;
+    step.kind = StepKind::ForwardHeader;
+    step.attempt = m_forwardedAttempt;
     steps.push_back(step);
     if (m_progress->complete()) {
         finish(steps);
     }
 }
 
-void RequestPlan::fail(Running &attempt, AttemptResult result, Instant now, Steps &steps)
+void RequestPlan::fail(RunningAttempt &attempt, AttemptResult result, Instant now, Steps &steps)
 {
-    noteFailure(attempt, result);
+    recordFailure(attempt, result);
     cancel(attempt.number, result, steps);
     afterFailure(now, steps);
 }
 
 void RequestPlan::afterFailure(Instant now, Steps &steps)
 {
-    if (m_phase == Phase::Passing) {
+    if (m_phase == Phase::Forwarding) {
         resumeOrAbort(now, steps);
         return;
     }
@@ -226,14 +230,14 @@
         return;
     }
     if (!mayStartAgain(now) || !scheduleStart(now)) {
-        giveUp(steps);
+        respondWithError(steps);
     }
 }
 
 void RequestPlan::resumeOrAbort(Instant now, Steps &steps)
 {
-    m_stallAt.reset();
-    const bool allowed = m_settings.idempotent && m_settings.resumable && m_resumes < m_settings.mostResumes;
+    m_stallTimeoutAt.reset();
+    const bool allowed = m_settings.idempotent && m_settings.resumable && m_resumes < m_settings.maxResumes;
     if (allowed && m_progress->resumeRequest() && scheduleStart(now)) {
         ++m_resumes;
     } else {
@@ -245,27 +249,27 @@
 {
     Step step;
     step.kind = StepKind::Finish;
-    step.attempt = m_passing;
-    step.reusable = !m_overrun;
+    step.attempt = m_forwardedAttempt;
+    step.reusable = !m_receivedExcessBytes;
     step.outcome = Outcome::Answered;
     steps.push_back(step);
     m_running.clear();
-    m_stallAt.reset();
-    m_answered = true;
+    m_stallTimeoutAt.reset();
+    m_finished = true;
     m_phase = Phase::Done;
 }
 
-void RequestPlan::giveUp(Steps &steps)
+void RequestPlan::respondWithError(Steps &steps)
 {
     Step step;
-    step.kind = StepKind::Answer;
+    step.kind = StepKind::Respond;
     step.outcome = outcome();
     const bool notRun = step.outcome == Outcome::NotRun;
-    step.error = notRun ? m_notRunKind : m_unknownKind;
+    step.error = notRun ? m_notRunError : m_unknownOutcomeError;
     step.repeatIsSafe = notRun || m_settings.idempotent;
     if (step.repeatIsSafe) {
-        const int least = std::max(errorAnswer(step.error).retryAfterSeconds, internal::LeastRetryAfterSeconds);
-        step.retryAfterSeconds = std::max(least, m_retryAfterSeconds);
+        const int minSeconds = std::max(errorAnswer(step.error).retryAfterSeconds, internal::MinRetryAfterSeconds);
+        step.retryAfterSeconds = std::max(minSeconds, m_retryAfterSeconds);
     }
     steps.push_back(step);
     m_phase = Phase::Done;
@@ -276,7 +280,7 @@
     Step step;
     step.kind = StepKind::AbortCaller;
     step.outcome = Outcome::Unknown;
-    step.error = m_unknownKind;
+    step.error = m_unknownOutcomeError;
     step.repeatIsSafe = m_settings.idempotent;
     steps.push_back(step);
     m_phase = Phase::Done;
@@ -284,36 +288,36 @@
 
 void RequestPlan::onDeadline(Steps &steps)
 {
-    m_notRunKind = ErrorKind::DeadlineBeforeStart;
-    m_unknownKind = ErrorKind::TargetTimeout;
-    const bool passing = m_phase == Phase::Passing;
-    const bool callerIsSlow = passing && !m_stallAt && !m_retryAt;
+    m_notRunError = ErrorKind::DeadlineBeforeStart;
+    m_unknownOutcomeError = ErrorKind::TargetTimeout;
+    const bool forwarding = m_phase == Phase::Forwarding;
+    const bool callerIsSlow = forwarding && !m_stallTimeoutAt && !m_retryAt;
     cancelAll(callerIsSlow ? AttemptResult::Cancelled : timeoutResult(), steps);
-    if (passing) {
+    if (forwarding) {
         abortCaller(steps);
     } else {
-        giveUp(steps);
+        respondWithError(steps);
     }
 }
 
 // Returns true if an attempt's time was up.
 bool RequestPlan::onAttemptTimeout(Instant now, Steps &steps)
 {
-    const auto late = std::find_if(m_running.begin(), m_running.end(), [now](const Running &running) {
+    const auto expired = std::find_if(m_running.begin(), m_running.end(), [now](const RunningAttempt &running) {
         return now >= running.timeoutAt;
     });
-    if (late == m_running.end()) {
+    if (expired == m_running.end()) {
         return false;
     }
-    const bool otherWaits = m_running.size() > 1;
-    if (m_phase == Phase::Passing) {
-        fail(*late, AttemptResult::Timeout, now, steps);
-    } else if (otherWaits || (mayStartAgain(now) && scheduleStart(now))) {
-        noteFailure(*late, timeoutResult());
-        cancel(late->number, timeoutResult(), steps);
+    const bool otherPending = m_running.size() > 1;
+    if (m_phase == Phase::Forwarding) {
+        fail(*expired, AttemptResult::Timeout, now, steps);
+    } else if (otherPending || (mayStartAgain(now) && scheduleStart(now))) {
+        recordFailure(*expired, timeoutResult());
+        cancel(expired->number, timeoutResult(), steps);
     } else {
         // Nothing can follow this attempt, so it gets all the time there is.
-        late->timeoutAt = m_settings.deadline.at();
+        expired->timeoutAt = m_settings.deadline.at();
     }
     return true;
 }
--- a/src/policy/attemptstest.cpp
+++ b/src/policy/requestplantest.cpp
@@ -1,4 +1,4 @@
-#include "mulberryplank/policy/attempts.h"
+#include "mulberryplank/policy/requestplan.h"
 
 #include <algorithm>
 #include <map>
@@ -21,7 +21,7 @@
 
 // Returns a number from `first` to below `end`. RapidCheck narrows ranges in its first runs; here each is used whole.
 template<typename Number = int>
-Number chosen(Number first, Number end)
+Number randomNumber(Number first, Number end)
 {
     return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Number>(first, end));
 }
@@ -30,7 +30,7 @@
 struct FakeAttempt {
     TargetIndex target = 0;
     std::optional<ResumeRequest> resume;
-    bool picked = false;
+    bool targetSelected = false;
     bool sent = false;
     bool shed = false; // the target refused it and will never run it
     bool ran = false;
@@ -39,15 +39,15 @@
     BodyHeader header;
     std::string body; // what the target sends behind the header
     std::size_t position = 0;
-    bool others = false; // the answer belongs to another request
+    bool forAnotherRequest = false; // the respond belongs to another request
 };
 
 // A caller, the plan, and targets that run, shed, cross, cut, repeat and delay as the schedule says. Two versions of
 // the same resource are about, with tags of their own.
-class FakeWorld
+class RequestSimulation
 {
 public:
-    FakeWorld(PlanSettings settings, int tokens)
+    RequestSimulation(RequestPlanSettings settings, int tokens)
         : m_idempotent(settings.idempotent)
         , m_tokens(tokens)
         , m_initialTokens(tokens)
@@ -56,31 +56,31 @@
             return m_tokens > 0 && m_tokens-- > 0;
         })
     {
-        carryOut(m_plan.start());
+        perform(m_plan.start());
     }
 
-    void play()
+    void run()
     {
-        constexpr int MostEvents = 200;
-        for (int event = 0; event < MostEvents && !m_plan.done(); ++event) {
-            playOne();
+        constexpr int MaxEvents = 200;
+        for (int event = 0; event < MaxEvents && !m_plan.done(); ++event) {
+            runEvent();
         }
         m_now = std::max(m_now, m_deadline);
-        carryOut(m_plan.onTimer(m_now));
+        perform(m_plan.onTimer(m_now));
         RC_ASSERT(m_plan.done());
         // Bytes that are under way arrive in the end, whatever the proxy has answered in the meantime.
         for (auto &[number, attempt] : m_attempts) {
-            runAt(attempt);
+            runRequest(attempt);
         }
         check();
     }
 
 private:
-    void playOne()
+    void runEvent()
     {
-        const auto number = chosen<AttemptNumber>(0, m_plan.attempts());
+        const auto number = randomNumber<AttemptNumber>(0, m_plan.attempts());
         FakeAttempt &attempt = m_attempts[number];
-        switch (chosen(0, 12)) {
+        switch (randomNumber(0, 12)) {
         case 0:
         case 1:
         case 2:
@@ -95,46 +95,47 @@
             failConnection(number, attempt);
             break;
         case 7:
-            carryOut(m_plan.onBodyEnd(number, m_now));
+            perform(m_plan.onBodyEnd(number, m_now));
             break;
         case 8:
-            carryOut(m_plan.onTargetDraining(number, m_now));
+            perform(m_plan.onTargetDraining(number, m_now));
             break;
         case 9:
-            runAt(attempt);
+            runRequest(attempt);
             break;
         case 10:
-            if (chosen(0, 10) == 0) {
-                carryOut(m_plan.onCallerGone());
+            if (randomNumber(0, 10) == 0) {
+                perform(m_plan.onCallerDisconnected());
                 m_callerGone = true;
             }
             break;
         default:
-            m_now += Millis(chosen(0, 400));
-            carryOut(m_plan.onTimer(m_now));
+            m_now += Millis(randomNumber(0, 400));
+            perform(m_plan.onTimer(m_now));
         }
     }
 
-    // Takes the attempt one step on: a target is picked, the request sent, its header answered, late or a second time.
+    // Takes the attempt one step on: a target is targetSelected, the request sent, its header answered, late or a
+    // second time.
     void advance(AttemptNumber number, FakeAttempt &attempt)
     {
-        if (!attempt.picked) {
-            pick(number, attempt);
+        if (!attempt.targetSelected) {
+            selectTarget(number, attempt);
         } else if (!attempt.sent) {
             send(number, attempt);
         } else {
-            answer(number, attempt);
+            respond(number, attempt);
         }
     }
 
-    void pick(AttemptNumber number, FakeAttempt &attempt)
+    void selectTarget(AttemptNumber number, FakeAttempt &attempt)
     {
-        if (chosen(0, 10) == 0) {
-            carryOut(m_plan.onNoTarget(number, ErrorKind::NoTarget, 0));
+        if (randomNumber(0, 10) == 0) {
+            perform(m_plan.onNoTarget(number, ErrorKind::NoTarget, 0));
             return;
         }
-        attempt.picked = true;
-        m_plan.onTarget(number, attempt.target, *rc::gen::arbitrary<bool>(), m_now);
+        attempt.targetSelected = true;
+        m_plan.onTargetSelected(number, attempt.target, *rc::gen::arbitrary<bool>(), m_now);
     }
 
     void send(AttemptNumber number, FakeAttempt &attempt)
@@ -144,10 +145,10 @@
         }
         RC_ASSERT(!attempt.cancelled);
         attempt.sent = true;
-        attempt.shed = chosen(0, 4) == 0;
+        attempt.shed = randomNumber(0, 4) == 0;
     }
 
-    void runAt(FakeAttempt &attempt)
+    void runRequest(FakeAttempt &attempt)
     {
         if (attempt.sent && !attempt.shed && !attempt.ran) {
             attempt.ran = true;
@@ -155,46 +156,47 @@
         }
     }
 
-    void answer(AttemptNumber number, FakeAttempt &attempt)
+    void respond(AttemptNumber number, FakeAttempt &attempt)
     {
         if (!attempt.headerSent) {
             attempt.headerSent = true;
-            attempt.others = chosen(0, 8) == 0;
-            chooseAnswer(attempt);
+            attempt.forAnotherRequest = randomNumber(0, 8) == 0;
+            chooseResponse(attempt);
         }
         if (!attempt.shed) {
-            runAt(attempt);
+            runRequest(attempt);
         }
-        AnswerHeader header;
+        ResponseSummary header;
         header.body = attempt.header;
-        header.mustEcho = true;
-        header.requestId = attempt.others ? std::string(OtherId) : m_plan.attemptRequestId(number);
-        header.notRun = attempt.shed || attempt.others;
-        carryOut(m_plan.onHeader(number, header, m_now));
+        header.echoesRequestId = true;
+        header.requestId = attempt.forAnotherRequest ? std::string(OtherId) : m_plan.attemptRequestId(number);
+        header.notRun = attempt.shed || attempt.forAnotherRequest;
+        perform(m_plan.onHeader(number, header, m_now));
     }
 
-    void chooseAnswer(FakeAttempt &attempt)
+    void chooseResponse(FakeAttempt &attempt)
     {
-        const bool newer = chosen(0, 5) == 0;
-        const std::string whole = attempt.others ? "not yours, not yours" : (newer ? m_newVersion : m_oldVersion);
+        const bool newer = randomNumber(0, 5) == 0;
+        const std::string whole =
+            attempt.forAnotherRequest ? "not yours, not yours" : (newer ? m_newVersion : m_oldVersion);
         attempt.body = whole;
         attempt.header.etag = newer ? "\"new\"" : "\"old\"";
-        attempt.header.status = attempt.shed ? 503 : (chosen(0, 8) == 0 ? 500 : 200);
-        if (attempt.resume && attempt.header.status == 200 && chosen(0, 6) != 0) {
-            answerRange(attempt, whole);
+        attempt.header.status = attempt.shed ? 503 : (randomNumber(0, 8) == 0 ? 500 : 200);
+        if (attempt.resume && attempt.header.status == 200 && randomNumber(0, 6) != 0) {
+            respondWithRange(attempt, whole);
         }
         attempt.header.length = attempt.body.size();
-        if (!attempt.resume && chosen(0, 6) == 0) {
+        if (!attempt.resume && randomNumber(0, 6) == 0) {
             attempt.header.framing = BodyFraming::UntilClose;
         }
     }
 
-    // Answers the range that was asked for, sometimes from the wrong byte on.
-    void answerRange(FakeAttempt &attempt, const std::string &whole)
+    // Answers the range that was requested for, sometimes from the wrong byte on.
+    void respondWithRange(FakeAttempt &attempt, const std::string &whole)
     {
-        const std::string &asked = attempt.resume->range;
-        std::size_t first = std::stoul(asked.substr(std::string("bytes=").size()));
-        if (chosen(0, 5) == 0) {
+        const std::string &requested = attempt.resume->range;
+        std::size_t first = std::stoul(requested.substr(std::string("bytes=").size()));
+        if (randomNumber(0, 5) == 0) {
             first = first > 0 ? first - 1 : first + 1;
         }
         attempt.header.status = 206;
@@ -211,32 +213,32 @@
         }
         // The last byte may be followed by one that doesn't belong to the body.
         const std::string sent = attempt.body + "!";
-        const std::size_t bytes = chosen<std::size_t>(0, sent.size() - attempt.position + 1);
+        const std::size_t bytes = randomNumber<std::size_t>(0, sent.size() - attempt.position + 1);
         const std::string piece = sent.substr(attempt.position, bytes);
         attempt.position += bytes;
-        const std::uint64_t taken = m_plan.onBody(number, bytes);
-        RC_ASSERT(taken <= bytes);
-        m_received += piece.substr(0, taken);
-        carryOut(m_plan.onPassedOn(number, m_now));
+        const std::uint64_t accepted = m_plan.onBody(number, bytes);
+        RC_ASSERT(accepted <= bytes);
+        m_received += piece.substr(0, accepted);
+        perform(m_plan.onForwarded(number, m_now));
     }
 
     void failConnection(AttemptNumber number, FakeAttempt &attempt)
     {
-        if (attempt.picked) {
+        if (attempt.targetSelected) {
             const AttemptResult result = attempt.sent ? AttemptResult::Reset : AttemptResult::ConnectFailed;
-            carryOut(m_plan.onFailed(number, result, m_now));
+            perform(m_plan.onFailed(number, result, m_now));
         }
     }
 
-    void carryOut(const Steps &steps)
+    void perform(const Steps &steps)
     {
         for (const Step &step : steps) {
-            RC_ASSERT(!m_last);
-            carryOut(step);
+            RC_ASSERT(!m_finalStep);
+            perform(step);
         }
     }
 
-    void carryOut(const Step &step)
+    void perform(const Step &step)
     {
         switch (step.kind) {
         case StepKind::Start:
@@ -245,21 +247,21 @@
         case StepKind::Cancel:
             m_attempts.at(step.attempt).cancelled = true;
             break;
-        case StepKind::PassHeader:
-            RC_ASSERT(!m_passed);
-            m_passed = m_attempts.at(step.attempt);
+        case StepKind::ForwardHeader:
+            RC_ASSERT(!m_forwarded);
+            m_forwarded = m_attempts.at(step.attempt);
             break;
         case StepKind::ContinueBody:
-            RC_ASSERT(m_passed.has_value());
+            RC_ASSERT(m_forwarded.has_value());
             break;
         case StepKind::Finish:
         case StepKind::AbortCaller:
-            RC_ASSERT(m_passed.has_value());
-            m_last = step;
+            RC_ASSERT(m_forwarded.has_value());
+            m_finalStep = step;
             break;
-        case StepKind::Answer:
-            RC_ASSERT(!m_passed);
-            m_last = step;
+        case StepKind::Respond:
+            RC_ASSERT(!m_forwarded);
+            m_finalStep = step;
             break;
         }
     }
@@ -273,29 +275,29 @@
 
     void check() const
     {
-        RC_ASSERT(m_callerGone || m_last.has_value());
+        RC_ASSERT(m_callerGone || m_finalStep.has_value());
         if (!m_idempotent) {
             RC_ASSERT(m_runs <= 1);
         }
         // One free reconnection and one first attempt; everything else is paid for, or moved before a byte was sent.
         const int paid = m_initialTokens - m_tokens;
         RC_ASSERT(!m_idempotent || static_cast<int>(sentAttempts()) <= paid + 2);
-        if (m_passed) {
-            RC_ASSERT(m_passed->body.starts_with(m_received));
-            RC_ASSERT(m_passed->header.framing != BodyFraming::UntilClose);
+        if (m_forwarded) {
+            RC_ASSERT(m_forwarded->body.starts_with(m_received));
+            RC_ASSERT(m_forwarded->header.framing != BodyFraming::UntilClose);
         }
-        if (!m_last) {
+        if (!m_finalStep) {
             return;
         }
-        if (m_last->kind == StepKind::Finish) {
-            RC_ASSERT(!m_passed->others);
-            RC_ASSERT(m_received == m_passed->body);
-        } else if (m_last->outcome == Outcome::NotRun) {
+        if (m_finalStep->kind == StepKind::Finish) {
+            RC_ASSERT(!m_forwarded->forAnotherRequest);
+            RC_ASSERT(m_received == m_forwarded->body);
+        } else if (m_finalStep->outcome == Outcome::NotRun) {
             RC_ASSERT(m_runs == 0);
         } else {
-            RC_ASSERT(m_last->outcome == Outcome::Unknown);
-            RC_ASSERT(errorAnswer(m_last->error).outcome == Outcome::Unknown);
-            RC_ASSERT(!m_last->repeatIsSafe || m_idempotent);
+            RC_ASSERT(m_finalStep->outcome == Outcome::Unknown);
+            RC_ASSERT(errorAnswer(m_finalStep->error).outcome == Outcome::Unknown);
+            RC_ASSERT(!m_finalStep->repeatIsSafe || m_idempotent);
         }
     }
 
@@ -315,16 +317,16 @@
     RequestPlan m_plan;
     Instant m_now = Begin;
     std::map<AttemptNumber, FakeAttempt> m_attempts;
-    std::optional<FakeAttempt> m_passed;
-    std::optional<Step> m_last;
+    std::optional<FakeAttempt> m_forwarded;
+    std::optional<Step> m_finalStep;
     std::string m_received;
     int m_runs = 0;
     bool m_callerGone = false;
 };
 
-PlanSettings settingsFor(bool idempotent)
+RequestPlanSettings settingsFor(bool idempotent)
 {
-    PlanSettings settings { .requestId = OwnId, .deadline = Deadline(Begin, Seconds(5)) };
+    RequestPlanSettings settings { .requestId = OwnId, .deadline = Deadline(Begin, Seconds(5)) };
     settings.idempotent = idempotent;
     settings.resumable = idempotent;
     settings.progressTimeout = Millis(500);
@@ -340,19 +342,19 @@
 
 TEST_GROUP(Attempts) {};
 
-// Failure: a booking is made twice, or a caller gets another's or half an answer, or a "not run" that is untrue.
+// Failure: a booking is made twice, or a caller gets another's or half an respond, or a "not run" that is untrue.
 TEST(Attempts, promisesHoldForEveryScheduleOfFaults)
 {
     CHECK_TRUE(rc::check("promises hold", [] {
         constexpr int SchedulesPerCase = 50;
         for (int schedule = 0; schedule < SchedulesPerCase; ++schedule) {
-            PlanSettings settings = settingsFor(*rc::gen::arbitrary<bool>());
+            RequestPlanSettings settings = settingsFor(*rc::gen::arbitrary<bool>());
             if (*rc::gen::arbitrary<bool>()) {
-                settings.hedgeDelay = Millis(chosen(1, 300));
+                settings.hedgeDelay = Millis(randomNumber(1, 300));
             }
-            settings.seed = chosen<std::uint32_t>(1, 1'000);
-            FakeWorld world(settings, chosen(0, 6));
-            world.play();
+            settings.seed = randomNumber<std::uint32_t>(1, 1'000);
+            RequestSimulation simulation(settings, randomNumber(0, 6));
+            simulation.run();
         }
     }));
 }
@@ -362,11 +364,11 @@
 {
     RequestPlan plan(settingsFor(false), alwaysSpend);
     plan.start();
-    plan.onTarget(0, 1, true, Begin);
+    plan.onTargetSelected(0, 1, true, Begin);
     CHECK_TRUE(plan.onSending(0));
     const Steps steps = plan.onFailed(0, AttemptResult::Reset, Begin);
     CHECK_EQUAL(1, steps.size());
-    CHECK_TRUE(steps[0].kind == StepKind::Answer);
+    CHECK_TRUE(steps[0].kind == StepKind::Respond);
     CHECK_TRUE(steps[0].error == ErrorKind::TargetReset);
     CHECK_TRUE(steps[0].outcome == Outcome::Unknown);
 }
@@ -378,37 +380,37 @@
         return false;
     });
     plan.start();
-    plan.onTarget(0, 3, true, Begin);
+    plan.onTargetSelected(0, 3, true, Begin);
     CHECK_TRUE(plan.onSending(0));
     const Steps again = plan.onFailed(0, AttemptResult::Reset, Begin);
     CHECK_TRUE(again[0].kind == StepKind::Start);
     CHECK_TRUE(again[0].sameTarget == TargetIndex { 3 });
-    plan.onTarget(1, 3, true, Begin);
-    const Steps given = plan.onFailed(1, AttemptResult::Reset, Begin);
-    CHECK_EQUAL(1, given.size());
-    CHECK_TRUE(given[0].kind == StepKind::Answer);
+    plan.onTargetSelected(1, 3, true, Begin);
+    const Steps failed = plan.onFailed(1, AttemptResult::Reset, Begin);
+    CHECK_EQUAL(1, failed.size());
+    CHECK_TRUE(failed[0].kind == StepKind::Respond);
 }
 
-// Failure: a target sheds and is asked again at once.
+// Failure: a target sheds and is requested again at once.
 TEST(Attempts, shedRequestMovesToAnotherTargetAndPassesOnTheHint)
 {
-    PlanSettings settings = settingsFor(false);
-    settings.mostAttempts = 2;
+    RequestPlanSettings settings = settingsFor(false);
+    settings.maxAttempts = 2;
     RequestPlan plan(settings, alwaysSpend);
     plan.start();
-    AnswerHeader shed;
+    ResponseSummary shed;
     shed.body.status = 503;
     shed.notRun = true;
     shed.retryAfterSeconds = 7;
-    plan.onTarget(0, 2, false, Begin);
+    plan.onTargetSelected(0, 2, false, Begin);
     CHECK_TRUE(plan.onSending(0));
     plan.onHeader(0, shed, Begin);
     CHECK_TRUE(plan.excluded() == std::vector<TargetIndex> { 2 });
     plan.onTimer(*plan.wakeAt());
-    plan.onTarget(1, 0, false, Begin);
+    plan.onTargetSelected(1, 0, false, Begin);
     CHECK_TRUE(plan.onSending(1));
     const Steps last = plan.onHeader(1, shed, Begin);
-    CHECK_TRUE(last.back().kind == StepKind::Answer);
+    CHECK_TRUE(last.back().kind == StepKind::Respond);
     CHECK_TRUE(last.back().error == ErrorKind::TargetShed);
     CHECK_TRUE(last.back().outcome == Outcome::NotRun);
     CHECK_EQUAL(7, last.back().retryAfterSeconds);
@@ -417,11 +419,11 @@
 // Failure: a caller gets healthy targets ejected by asking with deadlines of a millisecond.
 TEST(Attempts, deadlineOfTheCallersOwnIsNoEvidence)
 {
-    PlanSettings settings = settingsFor(false);
-    settings.deadlineIsCallers = true;
+    RequestPlanSettings settings = settingsFor(false);
+    settings.deadlineFromCaller = true;
     RequestPlan plan(settings, alwaysSpend);
     plan.start();
-    plan.onTarget(0, 0, false, Begin);
+    plan.onTargetSelected(0, 0, false, Begin);
     CHECK_TRUE(plan.onSending(0));
     const Steps steps = plan.onTimer(settings.deadline.at());
     CHECK_TRUE(steps[0].kind == StepKind::Cancel);
@@ -432,14 +434,14 @@
 {
     RequestPlan plan(settingsFor(true), alwaysSpend);
     plan.start();
-    plan.onTarget(0, 0, false, Begin);
+    plan.onTargetSelected(0, 0, false, Begin);
     CHECK_TRUE(plan.onSending(0));
-    AnswerHeader header;
+    ResponseSummary header;
     header.body.length = 10;
     plan.onHeader(0, header, Begin);
     CHECK_EQUAL(5, plan.onBody(0, 5));
     CHECK_TRUE(plan.onTimer(Begin + Seconds(2)).empty());
-    plan.onPassedOn(0, Begin + Seconds(2));
+    plan.onForwarded(0, Begin + Seconds(2));
     const Steps stalled = plan.onTimer(Begin + Millis(2'500));
     CHECK_TRUE(stalled[0].result == AttemptResult::Stalled);
 }
--- a/src/policy/retrybudget.cpp
+++ b/src/policy/retrybudget.cpp
@@ -7,13 +7,13 @@
 
 RetryBudget::RetryBudget(RetryBudgetSettings settings)
     : m_settings(settings)
-    , m_tokens(std::min(settings.initial, settings.most))
+    , m_tokens(std::min(settings.initial, settings.maximum))
 {
 }
 
 void RetryBudget::onSuccess()
 {
-    m_tokens = std::min(m_tokens + m_settings.share, m_settings.most);
+    m_tokens = std::min(m_tokens + m_settings.share, m_settings.maximum);
 }
 
 bool RetryBudget::trySpend()
@@ -34,9 +34,9 @@
 
 Duration backoff(const BackoffSettings &settings, unsigned retry, std::minstd_rand &random)
 {
-    constexpr unsigned MostDoublings = 20;
-    const unsigned doublings = std::min(retry > 0 ? retry - 1 : 0, MostDoublings);
-    const Duration bound = std::min<Duration>(Duration(settings.first) * (1LL << doublings), settings.most);
+    constexpr unsigned MaxDoublings = 20;
+    const unsigned doublings = std::min(retry > 0 ? retry - 1 : 0, MaxDoublings);
+    const Duration bound = std::min<Duration>(Duration(settings.first) * (1LL << doublings), settings.maximum);
     return Duration(std::uniform_int_distribution<Duration::rep>(0, bound.count())(random));
 }
 
--- a/src/policy/retrybudgettest.cpp
+++ b/src/policy/retrybudgettest.cpp
@@ -46,8 +46,8 @@
     std::minstd_rand random(7);
     const BackoffSettings settings;
     for (unsigned retry = 1; retry < 100; ++retry) {
-        const Duration pause = backoff(settings, retry, random);
-        const Duration bound = retry < 7 ? Duration(settings.first) * (1 << (retry - 1)) : Duration(settings.most);
-        CHECK_TRUE(pause >= Duration::zero() && pause <= bound);
+        const Duration delay = backoff(settings, retry, random);
+        const Duration bound = retry < 7 ? Duration(settings.first) * (1 << (retry - 1)) : Duration(settings.maximum);
+        CHECK_TRUE(delay >= Duration::zero() && delay <= bound);
     }
 }
--- a/src/policy/routestatistics.cpp
+++ b/src/policy/routestatistics.cpp
@@ -12,25 +12,25 @@
 namespace
 {
 
-constexpr float LeastSamples = 20;
+constexpr float MinSamples = 20;
 constexpr float SampleWindow = 400; // latencies; then the older ones lose half of their weight
 constexpr double MeanWeight = 0.05; // of the newest answer
 // The users' services answer about one request in a hundred several times later than the rest.
-constexpr double LeastSurvival = 0.01;
+constexpr double MinSurvival = 0.01;
 
 } // namespace
 
 } // namespace internal
 
-void RouteStatistics::add(Duration latency, std::size_t answerBytes)
+void RouteStatistics::add(Duration latency, std::size_t responseBytes)
 {
     if (m_latencies.total() >= internal::SampleWindow) {
-        m_latencies.fade(0.5F);
+        m_latencies.decay(0.5F);
     }
-    m_latencies.add(LatencyHistogram::classOf(latency));
+    m_latencies.add(LatencyHistogram::bucketOf(latency));
     const double weight = m_meanSeconds <= 0 ? 1 : internal::MeanWeight;
     m_meanSeconds += weight * (toSeconds(latency) - m_meanSeconds);
-    m_meanBytes += weight * (static_cast<double>(answerBytes) - m_meanBytes);
+    m_meanBytes += weight * (static_cast<double>(responseBytes) - m_meanBytes);
 }
 
 double RouteStatistics::meanSeconds() const
@@ -45,7 +45,7 @@
 
 std::optional<Duration> RouteStatistics::quantile(double share) const
 {
-    if (m_latencies.total() < internal::LeastSamples) {
+    if (m_latencies.total() < internal::MinSamples) {
         return std::nullopt;
     }
     return m_latencies.quantile(share);
@@ -55,12 +55,12 @@
 {
     const float total = m_latencies.total();
     double result = 0;
-    if (total < internal::LeastSamples) {
+    if (total < internal::MinSamples) {
         result = std::exp(-std::max(toSeconds(age), 0.0) / std::max(toSeconds(assumedMean), 1e-3));
     } else {
-        result = 1 - static_cast<double>(m_latencies.below(LatencyHistogram::classOf(age)) / total);
+        result = 1 - static_cast<double>(m_latencies.below(LatencyHistogram::bucketOf(age)) / total);
     }
-    return std::clamp(result, internal::LeastSurvival, 1.0);
+    return std::clamp(result, internal::MinSurvival, 1.0);
 }
 
 } // namespace mulberryplank
--- a/src/policy/routetable.cpp
+++ b/src/policy/routetable.cpp
@@ -16,8 +16,8 @@
 std::string hostKey(std::string_view host)
 {
     std::string key(host.substr(0, host.find(':')));
-    std::transform(key.begin(), key.end(), key.begin(), [](unsigned char letter) {
-        return static_cast<char>(std::tolower(letter));
+    std::transform(key.begin(), key.end(), key.begin(), [](unsigned char character) {
+        return static_cast<char>(std::tolower(character));
     });
     return key;
 }
@@ -38,11 +38,11 @@
     if (routes == hosts.end()) {
         return nullptr;
     }
-    const std::string_view plainPath = path.substr(0, path.find('?'));
+    const std::string_view pathWithoutQuery = path.substr(0, path.find('?'));
     const HostRoute *longest = nullptr;
     for (const HostRoute &route : routes->second) {
         const bool longer = longest == nullptr || route.pathPrefix.size() > longest->pathPrefix.size();
-        if (longer && plainPath.starts_with(route.pathPrefix)) {
+        if (longer && pathWithoutQuery.starts_with(route.pathPrefix)) {
             longest = &route;
         }
     }
--- a/src/policy/seqwindow.cpp
+++ b/src/policy/seqwindow.cpp
@@ -30,7 +30,7 @@
 
 ReplayGuard::~ReplayGuard()
 {
-    m_byUse.clear();
+    m_byLastReceived.clear();
 }
 
 bool ReplayGuard::accept(Incarnation sender, Sequence sequence)
@@ -40,12 +40,12 @@
     if (added) {
         entry.incarnation = sender;
     } else {
-        m_byUse.erase(m_byUse.iterator_to(entry));
+        m_byLastReceived.erase(m_byLastReceived.iterator_to(entry));
     }
-    m_byUse.push_front(entry);
+    m_byLastReceived.push_front(entry);
     if (m_senders.size() > m_capacity) {
-        const Incarnation oldest = m_byUse.back().incarnation;
-        m_byUse.pop_back();
+        const Incarnation oldest = m_byLastReceived.back().incarnation;
+        m_byLastReceived.pop_back();
         m_senders.erase(oldest);
     }
     return entry.window.accept(sequence);
--- a/src/policy/snapshotparts.cpp
+++ b/src/policy/snapshotparts.cpp
@@ -24,16 +24,16 @@
 }
 
 // The SHA-256 of bytes that come one after the other.
-class RunningDigest
+class IncrementalDigest
 {
 public:
-    RunningDigest()
+    IncrementalDigest()
         : m_context(EVP_MD_CTX_new(), &EVP_MD_CTX_free)
     {
         EVP_DigestInit_ex(m_context.get(), EVP_sha256(), nullptr);
     }
 
-    void take(std::string_view bytes)
+    void update(std::string_view bytes)
     {
         EVP_DigestUpdate(m_context.get(), bytes.data(), bytes.size());
     }
@@ -82,7 +82,7 @@
         reader.read("parts", part.count);
         reader.read("data", part.data);
         return format == PartFormat && part.index < part.count ? std::optional(std::move(part)) : std::nullopt;
-    } catch (const FieldFault &) {
+    } catch (const FieldError &) {
         return std::nullopt;
     }
 }
@@ -105,16 +105,16 @@
 SnapshotParts::SnapshotParts(const ConfigTable &table)
     : m_next(table.nextOffset())
 {
-    internal::RunningDigest digest;
-    table.writeSnapshot([&](std::string_view piece) {
-        digest.take(piece);
-        while (!piece.empty()) {
+    internal::IncrementalDigest digest;
+    table.writeSnapshot([&](std::string_view chunk) {
+        digest.update(chunk);
+        while (!chunk.empty()) {
             if (m_data.empty() || m_data.back().size() == internal::MaxPartSize) {
                 m_data.emplace_back().reserve(internal::MaxPartSize);
             }
-            const std::size_t room = internal::MaxPartSize - m_data.back().size();
-            m_data.back() += piece.substr(0, room);
-            piece.remove_prefix(std::min(room, piece.size()));
+            const std::size_t remaining = internal::MaxPartSize - m_data.back().size();
+            m_data.back() += chunk.substr(0, remaining);
+            chunk.remove_prefix(std::min(remaining, chunk.size()));
         }
     });
     m_digest = digest.finish();
@@ -164,9 +164,9 @@
     if (parts.data.size() != parts.count) {
         return false;
     }
-    internal::RunningDigest digest;
+    internal::IncrementalDigest digest;
     for (const auto &[index, data] : parts.data) {
-        digest.take(data);
+        digest.update(data);
     }
     return digest.finish() == key.second;
 }
--- a/src/policy/snapshotpartstest.cpp
+++ b/src/policy/snapshotpartstest.cpp
@@ -15,7 +15,7 @@
 {
     CHECK_TRUE(rc::check("pieces make the table that the whole makes, and a part of them none", [] {
         ConfigTable table;
-        const auto log = drawLog();
+        const auto log = generateLog();
         applyUpTo(table, log, log.size());
         const std::string bytes = table.snapshot();
         std::vector<std::string> pieces;
--- a/src/policy/storeretry.cpp
+++ b/src/policy/storeretry.cpp
@@ -12,8 +12,8 @@
 {
 
 // Pauses are spread from three quarters of their length to five quarters.
-constexpr double LeastPart = 0.75;
-constexpr double SpreadPart = 0.5;
+constexpr double MinDelayFactor = 0.75;
+constexpr double DelayFactorRange = 0.5;
 
 } // namespace
 
@@ -25,26 +25,27 @@
 {
 }
 
-bool StoreRetry::mayTry(Instant now, std::size_t sharing) const
+bool StoreRetry::mayTry(Instant now, std::size_t sharingProcesses) const
 {
     if (m_failures == 0) {
         return true;
     }
-    const double part = internal::LeastPart + internal::SpreadPart * m_phase;
-    return now >= m_failedAt + std::chrono::duration_cast<Duration>(pauseAfter(sharing) * part);
+    const double factor = internal::MinDelayFactor + internal::DelayFactorRange * m_phase;
+    return now >= m_failedAt + std::chrono::duration_cast<Duration>(delayFor(sharingProcesses) * factor);
 }
 
-Duration StoreRetry::pauseAfter(std::size_t sharing) const
+Duration StoreRetry::delayFor(std::size_t sharingProcesses) const
 {
     if (m_failures <= 1) {
         return m_settings.first;
     }
-    if (sharing == 0) {
+    if (sharingProcesses == 0) {
         return m_settings.most;
     }
-    const auto share = std::chrono::duration<double>(static_cast<double>(sharing) / m_settings.sharedPerSecond);
-    const Duration pause = std::chrono::duration_cast<Duration>(share);
-    return std::clamp(pause, m_settings.first, m_settings.mostShared);
+    const auto share =
+        std::chrono::duration<double>(static_cast<double>(sharingProcesses) / m_settings.sharedCallsPerSecond);
+    const Duration delay = std::chrono::duration_cast<Duration>(share);
+    return std::clamp(delay, m_settings.first, m_settings.maxSharedDelay);
 }
 
 void StoreRetry::onFailure(Instant now)
--- a/src/policy/storeretrytest.cpp
+++ b/src/policy/storeretrytest.cpp
@@ -12,7 +12,7 @@
 constexpr Instant Start { Seconds(1'000) };
 
 // Returns how many calls `processes` make in `outage`, each trying as often as it may.
-int callsIn(Duration outage, std::size_t processes, std::size_t sharing)
+int callsIn(Duration outage, std::size_t processes, std::size_t sharingProcesses)
 {
     std::vector<StoreRetry> retries;
     for (std::size_t index = 0; index < processes; ++index) {
@@ -21,7 +21,7 @@
     int calls = 0;
     for (Instant now = Start; now < Start + outage; now += Millis(5)) {
         for (StoreRetry &retry : retries) {
-            if (retry.mayTry(now, sharing)) {
+            if (retry.mayTry(now, sharingProcesses)) {
                 ++calls;
                 retry.onFailure(now);
             }
--- a/src/policy/tablecsv.cpp
+++ b/src/policy/tablecsv.cpp
@@ -40,9 +40,9 @@
 {
     for (std::size_t index = 0; index < cells.size(); ++index) {
         const std::string &cell = cells[index];
-        const std::size_t room = cell.size() * 2 + 2;
-        std::string quoted(room, '\0');
-        quoted.resize(csv_write(quoted.data(), room, cell.data(), cell.size()));
+        const std::size_t capacity = cell.size() * 2 + 2;
+        std::string quoted(capacity, '\0');
+        quoted.resize(csv_write(quoted.data(), capacity, cell.data(), cell.size()));
         const bool plain = quoted.size() == cell.size() + 2 && cell.find_first_of(",;\r\n ") == std::string::npos;
         out += (index == 0 ? "" : ",") + (plain ? cell : quoted);
     }
@@ -50,7 +50,7 @@
 }
 
 // Thrown and caught within this file only.
-struct TableFault {
+struct TableError {
     std::string detail;
 };
 
@@ -63,25 +63,25 @@
     {
     }
 
-    void take(std::size_t line, const Cells &cells)
+    void readLine(std::size_t line, const Cells &cells)
     {
         if (m_columns.empty()) {
-            takeHeader(line, cells);
+            readHeader(line, cells);
         } else {
-            takeRow(line, cells);
+            readRow(line, cells);
         }
     }
 
     std::vector<Row> rows() &&
     {
         if (m_columns.empty()) {
-            throw TableFault { "line 1: the header line is missing" };
+            throw TableError { "line 1: the header line is missing" };
         }
         return std::move(m_rows);
     }
 
 private:
-    void takeHeader(std::size_t line, const Cells &cells)
+    void readHeader(std::size_t line, const Cells &cells)
     {
         for (const std::string &cell : cells) {
             const auto *heading = std::find(Headings.begin(), Headings.end(), cell);
@@ -101,22 +101,22 @@
         }
     }
 
-    void takeRow(std::size_t line, const Cells &cells)
+    void readRow(std::size_t line, const Cells &cells)
     {
         if (cells.size() != m_columns.size()) {
             const std::string counts =
                 std::to_string(cells.size()) + " cells where the header line has " + std::to_string(m_columns.size());
-            throw TableFault { "line " + std::to_string(line) + ": " + counts };
+            throw TableError { "line " + std::to_string(line) + ": " + counts };
         }
         Row row;
         for (std::size_t index = 0; index < cells.size(); ++index) {
-            takeCell(line, m_columns[index], cells[index], row);
+            readCell(line, m_columns[index], cells[index], row);
         }
         checkRow(line, row);
         m_rows.push_back(std::move(row));
     }
 
-    void takeCell(std::size_t line, Column column, const std::string &cell, Row &row)
+    void readCell(std::size_t line, Column column, const std::string &cell, Row &row)
     {
         switch (column) {
         case Column::Account:
@@ -170,11 +170,11 @@
         const std::string place = "line " + std::to_string(line) + ", ";
         if (const auto checked = checkEdit({ EditId("import"), { { row, false } } }); !checked) {
             const std::string &detail = checked.error().detail;
-            throw TableFault { place + detail.substr(detail.find('.') + 1) };
+            throw TableError { place + detail.substr(detail.find('.') + 1) };
         }
         const auto [known, isNew] = m_lines.emplace(std::pair(row.account, row.service), line);
         if (!isNew) {
-            throw TableFault { place + itemLabel(row) + " stands on line " + std::to_string(known->second)
+            throw TableError { place + itemLabel(row) + " stands on line " + std::to_string(known->second)
                                + " already" };
         }
     }
@@ -184,7 +184,7 @@
                                   const std::string &rule,
                                   const std::string &value)
     {
-        throw TableFault { "line " + std::to_string(line) + ", " + heading + ": " + rule + ", not \"" + value + "\"" };
+        throw TableError { "line " + std::to_string(line) + ", " + heading + ": " + rule + ", not \"" + value + "\"" };
     }
 
     char m_delimiter;
@@ -193,21 +193,21 @@
     std::map<std::pair<AccountName, ServiceName>, std::size_t> m_lines;
 };
 
-// Runs libcsv over the text, one line after the other, so that a fault's line is known.
-class CsvFeed
+// Runs libcsv over the text, one line after the other, so that a error's line is known.
+class CsvParser
 {
 public:
-    explicit CsvFeed(char delimiter)
+    explicit CsvParser(char delimiter)
     {
         csv_init(&m_parser, CSV_STRICT | CSV_STRICT_FINI | CSV_APPEND_NULL);
         csv_set_delim(&m_parser, static_cast<unsigned char>(delimiter));
     }
-    ~CsvFeed()
+    ~CsvParser()
     {
         csv_free(&m_parser);
     }
-    CsvFeed(const CsvFeed &) = delete;
-    CsvFeed &operator=(const CsvFeed &) = delete;
+    CsvParser(const CsvParser &) = delete;
+    CsvParser &operator=(const CsvParser &) = delete;
 
     void run(std::string_view text, TableReader &reader)
     {
@@ -216,35 +216,35 @@
             const std::size_t size = std::min(text.find('\n'), text.size() - 1) + 1;
             ++line;
             if (csv_parse(&m_parser, text.data(), size, onCell, onLineEnd, this) != size) {
-                throw TableFault { "line " + std::to_string(line) + ": " + csv_strerror(csv_error(&m_parser)) };
+                throw TableError { "line " + std::to_string(line) + ": " + csv_strerror(csv_error(&m_parser)) };
             }
             text.remove_prefix(size);
-            handOver(line, reader);
+            deliverLines(line, reader);
         }
         if (csv_fini(&m_parser, onCell, onLineEnd, this) != 0) {
-            throw TableFault { "line " + std::to_string(line) + ": a quoted cell doesn't end" };
+            throw TableError { "line " + std::to_string(line) + ": a quoted cell doesn't end" };
         }
-        handOver(line, reader);
+        deliverLines(line, reader);
     }
 
 private:
     // libcsv is C: no exception may pass through it, so its calls only collect.
     static void onCell(void *data, std::size_t size, void *self)
     {
-        static_cast<CsvFeed *>(self)->m_cells.emplace_back(static_cast<const char *>(data), size);
+        static_cast<CsvParser *>(self)->m_cells.emplace_back(static_cast<const char *>(data), size);
     }
 
     static void onLineEnd(int, void *self)
     {
-        auto *feed = static_cast<CsvFeed *>(self);
-        feed->m_lines.push_back(std::move(feed->m_cells));
-        feed->m_cells.clear();
+        auto *parser = static_cast<CsvParser *>(self);
+        parser->m_lines.push_back(std::move(parser->m_cells));
+        parser->m_cells.clear();
     }
 
-    void handOver(std::size_t line, TableReader &reader)
+    void deliverLines(std::size_t line, TableReader &reader)
     {
         for (const Cells &cells : m_lines) {
-            reader.take(line, cells);
+            reader.readLine(line, cells);
         }
         m_lines.clear();
     }
@@ -290,10 +290,10 @@
     const char delimiter = internal::delimiterOf(bytes);
     internal::TableReader reader(delimiter);
     try {
-        internal::CsvFeed(delimiter).run(bytes, reader);
+        internal::CsvParser(delimiter).run(bytes, reader);
         return std::move(reader).rows();
-    } catch (const internal::TableFault &fault) {
-        return failure(ErrorKind::BadConfiguration, fault.detail);
+    } catch (const internal::TableError &error) {
+        return failure(ErrorKind::BadConfiguration, error.detail);
     }
 }
 
--- a/src/policy/tablecsvtest.cpp
+++ b/src/policy/tablecsvtest.cpp
@@ -13,7 +13,7 @@
 {
     const std::string header = "account,service,weight,requests_per_second,in_flight,queue,version\n";
 
-    static void checkFault(const std::string &text, const std::string &expected)
+    static void checkError(const std::string &text, const std::string &expected)
     {
         const auto rows = parseTable(text);
         CHECK_FALSE(rows.has_value());
@@ -24,7 +24,7 @@
 TEST(TableCsv, exportedTableComesBackWithoutDifferences)
 {
     CHECK_TRUE(rc::check("export and import change nothing", [] {
-        const auto log = drawLog();
+        const auto log = generateLog();
         ConfigTable table;
         applyUpTo(table, log, log.size());
         const auto rows = parseTable(exportTable(table));
@@ -48,14 +48,14 @@
 
 TEST(TableCsv, namesLineHeadingAndValueOfAFault)
 {
-    checkFault(header + "a,s,heavy,0,0,0,0\n", "line 2, weight: must be a number in range, not \"heavy\"");
-    checkFault(header + "\na,s,0,0,0,0,0\n", "line 3, weight: must be 1 to 10000, not \"0\"");
-    checkFault(header + "a,s,1,0,0,0,0\nb,s,1,0,0,0,0\na,s,2,0,0,0,0\n", "line 4, row (a, s) stands on line 2 already");
-    checkFault(header + "a,s,1\n", "line 2: 3 cells where the header line has 7");
-    checkFault("account,service,wieght\n", "line 1, wieght: no such column, not \"wieght\"");
-    checkFault("account,service\n", "line 1, weight: the column is missing, not \"\"");
-    checkFault(header + "\"a,s,1,0,0,0,0\n", "line 2: a quoted cell doesn't end");
-    checkFault("", "line 1: the header line is missing");
+    checkError(header + "a,s,heavy,0,0,0,0\n", "line 2, weight: must be a number in range, not \"heavy\"");
+    checkError(header + "\na,s,0,0,0,0,0\n", "line 3, weight: must be 1 to 10000, not \"0\"");
+    checkError(header + "a,s,1,0,0,0,0\nb,s,1,0,0,0,0\na,s,2,0,0,0,0\n", "line 4, row (a, s) stands on line 2 already");
+    checkError(header + "a,s,1\n", "line 2: 3 cells where the header line has 7");
+    checkError("account,service,wieght\n", "line 1, wieght: no such column, not \"wieght\"");
+    checkError("account,service\n", "line 1, weight: the column is missing, not \"\"");
+    checkError(header + "\"a,s,1,0,0,0,0\n", "line 2: a quoted cell doesn't end");
+    checkError("", "line 1: the header line is missing");
 }
 
 TEST(TableCsv, onlyWhatDiffersIsChangedAndOnlyWhatIsNamedIsRemoved)
--- a/src/policy/targetbalancer.cpp
+++ b/src/policy/targetbalancer.cpp
@@ -14,19 +14,19 @@
 
 // What a failure costs a request, in multiples of its target latency: one that may run once is lost with it; another
 // one loses the time until it is sent again.
-constexpr double OnceFailureCost = 1.5;
+constexpr double NonIdempotentFailureCost = 1.5;
 constexpr double IdempotentFailureCost = 0.2;
 // A target whose heartbeat is this many intervals late is likelier than others to be down.
-constexpr double LateHeartbeats = 2.2;
+constexpr double LateHeartbeatIntervals = 2.2;
 constexpr double LateHeartbeatRisk = 0.3;
 // A reported load has lost two thirds of its worth after this time.
-constexpr double ReportFadeSeconds = 0.5;
+constexpr double ReportDecaySeconds = 0.5;
 // How fast an old slowness is forgotten, so that a target that was slow is tried again.
-constexpr double SlownessFadeSeconds = 4;
+constexpr double SlownessDecaySeconds = 4;
 constexpr double ColdSlowness = 2; // of a target that is warming up
 // The part of a request's time by which a target slows down on its way to full.
 constexpr double CrowdingCost = 0.3;
-constexpr double FirstMeanPart = 0.3; // of the target latency: the mean assumed before any answer
+constexpr double InitialMeanFraction = 0.3; // of the target latency: the mean assumed before any answer
 // What a target that nobody has used for a while is preferred by, in parts of a request's time, and after how long:
 // what is known of it grows old, and a service's targets stay in use all alike. As large as what the growing doubt
 // costs.
@@ -36,17 +36,17 @@
 // How much longer a request is assumed to take at a target by an offset that each process draws for itself, up to this
 // part of its time: processes that believe the same would otherwise all go to the same target in the same moment, and
 // leave others without a request.
-constexpr double MostOffset = 0.15;
+constexpr double MaxOffset = 0.15;
 // A new connection's round trips and its bill; above the offset, so that connections at hand are used first.
 constexpr double ConnectSeconds = 0.05;
 
 // Whether a failure of the attempt is the request's.
-bool isLost(const ChooseTarget &wanted)
+bool failsWithAttempt(const TargetSelection &selection)
 {
-    return wanted.isLast || !isIdempotent(wanted.route->kind);
+    return selection.isLast || !isIdempotent(selection.route->kind);
 }
 
-double fade(double seconds, double scale)
+double decay(double seconds, double scale)
 {
     return std::exp(-std::max(seconds, 0.0) / scale);
 }
@@ -81,7 +81,7 @@
         if (listedBefore && !restarted) {
             entry = std::move(found->second);
         } else {
-            entry.offset = std::uniform_real_distribution<double>(0, internal::MostOffset)(m_random);
+            entry.offset = std::uniform_real_distribution<double>(0, internal::MaxOffset)(m_random);
         }
         entry.listed = listed;
         kept.emplace(listed.target.id, std::move(entry));
@@ -102,22 +102,22 @@
 }
 
 // Returns the likelihood that a target is sick, what is under way there included.
-double TargetBalancer::beliefOf(const Entry &entry, Instant now) const
+double TargetBalancer::faultProbabilityOf(const Entry &entry, Instant now) const
 {
-    double silence = 0;
-    for (const Pending &pending : entry.pending) {
-        silence += silenceOf(pending, now) - pending.learnt;
+    double noResponse = 0;
+    for (const PendingAttempt &pending : entry.pending) {
+        noResponse += noResponseEvidence(pending, now) - pending.applied;
     }
-    return m_model.beliefAfter(entry.belief, silence, now);
+    return m_model.probabilityAfter(entry.faultProbability, noResponse, now);
 }
 
 double TargetBalancer::riskOf(const Entry &entry, Instant now) const
 {
-    double risk = SicknessModel::failureRisk(beliefOf(entry, now));
-    const Duration late = std::chrono::duration_cast<Duration>(m_settings.heartbeat * internal::LateHeartbeats);
+    double risk = FaultModel::failureRisk(faultProbabilityOf(entry, now));
+    const Duration late = std::chrono::duration_cast<Duration>(m_settings.heartbeat * internal::LateHeartbeatIntervals);
     // A target that has answered since is alive, however late its heartbeat is read.
-    const Instant lastSign = std::max(entry.listed.lastHeartbeat, entry.lastAnswer);
-    if (m_listFresh && now - lastSign > late) {
+    const Instant lastObserved = std::max(entry.listed.lastHeartbeat, entry.lastResponse);
+    if (m_listFresh && now - lastObserved > late) {
         risk = std::max(risk, internal::LateHeartbeatRisk);
     }
     return risk;
@@ -126,13 +126,13 @@
 double TargetBalancer::loadOf(const Entry &entry, Instant now) const
 {
     const double others =
-        entry.othersLoad * internal::fade(toSeconds(now - entry.reportedAt), internal::ReportFadeSeconds);
+        entry.othersLoad * internal::decay(toSeconds(now - entry.reportedAt), internal::ReportDecaySeconds);
     return static_cast<double>(entry.pending.size()) + others;
 }
 
 double TargetBalancer::slownessOf(const Entry &entry, Instant now) const
 {
-    const double left = internal::fade(toSeconds(now - entry.slownessAt), internal::SlownessFadeSeconds);
+    const double left = internal::decay(toSeconds(now - entry.slownessAt), internal::SlownessDecaySeconds);
     const double slowness = 1 + (entry.slowness - 1) * left;
     return now < entry.listed.warmAt ? std::max(slowness, internal::ColdSlowness) : slowness;
 }
@@ -147,43 +147,45 @@
 }
 
 double TargetBalancer::costOf(const Entry &entry,
-                              const ChooseTarget &wanted,
+                              const TargetSelection &selection,
                               const RouteStatistics &statistics,
                               Instant now) const
 {
-    const HostRoute &route = *wanted.route;
+    const HostRoute &route = *selection.route;
     const double target = toSeconds(route.targetLatency);
-    const double mean = statistics.meanSeconds() > 0 ? statistics.meanSeconds() : target * internal::FirstMeanPart;
-    const double failureCost =
-        target * (internal::isLost(wanted) ? internal::OnceFailureCost : internal::IdempotentFailureCost);
+    const double mean =
+        statistics.meanSeconds() > 0 ? statistics.meanSeconds() : target * internal::InitialMeanFraction;
+    const double failureCost = target
+                               * (internal::failsWithAttempt(selection) ? internal::NonIdempotentFailureCost
+                                                                        : internal::IdempotentFailureCost);
     const double idle = std::min(toSeconds(now - entry.lastUsed) / internal::IdleSeconds, 1.0);
     double cost = expectedSeconds(entry, mean, now) + riskOf(entry, now) * failureCost;
     cost += mean * (entry.offset - internal::IdlePreference * idle);
     if (entry.listed.target.failureDomain != m_settings.ownDomain) {
-        const double bytes = static_cast<double>(wanted.requestBytes) + statistics.meanBytes();
+        const double bytes = static_cast<double>(selection.requestBytes) + statistics.meanBytes();
         cost += toSeconds(m_settings.crossDomainRoundTrip) + bytes / m_settings.bytesPerMilli / 1000;
     }
     return cost;
 }
 
-std::optional<ChosenTarget> TargetBalancer::choose(const ChooseTarget &wanted, Instant now)
+std::optional<ChosenTarget> TargetBalancer::choose(const TargetSelection &selection, Instant now)
 {
-    const RouteStatistics &statistics = statisticsOf(*wanted.route);
+    const RouteStatistics &statistics = statisticsOf(*selection.route);
     std::uniform_real_distribution<double> jitter(0, internal::JitterSeconds);
-    if (const Entry *unused = chooseUnused(wanted, now)) {
-        ChosenTarget result = chosen(*unused, *wanted.route, now);
+    if (const Entry *unused = chooseUnused(selection, now)) {
+        ChosenTarget result = chosen(*unused, *selection.route, now);
         result.wasUnused = true;
         return result;
     }
     const Entry *best = nullptr;
     double bestCost = 0;
     for (const auto &[id, entry] : m_targets) {
-        if (!mayTake(entry, wanted)) {
+        if (!isEligible(entry, selection)) {
             continue;
         }
-        const bool connected = !wanted.connected || wanted.connected(entry.listed.target.endpoint);
+        const bool connected = !selection.connected || selection.connected(entry.listed.target.endpoint);
         const double cost =
-            costOf(entry, wanted, statistics, now) + jitter(m_random) + (connected ? 0 : internal::ConnectSeconds);
+            costOf(entry, selection, statistics, now) + jitter(m_random) + (connected ? 0 : internal::ConnectSeconds);
         if (best == nullptr || cost < bestCost) {
             best = &entry;
             bestCost = cost;
@@ -192,15 +194,15 @@
     if (best == nullptr) {
         return std::nullopt;
     }
-    return chosen(*best, *wanted.route, now);
+    return chosen(*best, *selection.route, now);
 }
 
-bool TargetBalancer::mayTake(const Entry &entry, const ChooseTarget &wanted) const
+bool TargetBalancer::isEligible(const Entry &entry, const TargetSelection &selection) const
 {
-    const std::vector<TargetName> &excluded = wanted.excluded;
+    const std::vector<TargetName> &excluded = selection.excluded;
     const TargetName &id = entry.listed.target.id;
     const bool tried = std::find(excluded.begin(), excluded.end(), id) != excluded.end();
-    return !tried && !entry.gone && !entry.listed.target.draining;
+    return !tried && !entry.removed && !entry.listed.target.draining;
 }
 
 ChosenTarget TargetBalancer::chosen(const Entry &entry, const HostRoute &route, Instant now) const
@@ -226,10 +228,10 @@
     Entry &entry = found->second;
     const double slots = std::max(1U, entry.listed.target.slots);
     const double waiting = std::max(loadOf(entry, now) + 1 - slots, 0.0) / slots;
-    Pending pending;
+    PendingAttempt pending;
     pending.started = now;
     pending.statistics = &m_routes[route.name];
-    pending.assumedMean = std::chrono::duration_cast<Duration>(route.targetLatency * internal::FirstMeanPart);
+    pending.assumedMean = std::chrono::duration_cast<Duration>(route.targetLatency * internal::InitialMeanFraction);
     pending.slowness = std::max(slownessOf(entry, now), 1.0) * (1 + waiting);
     entry.pending.push_back(pending);
     entry.lastUsed = now;
--- a/src/policy/targetbalancertest.cpp
+++ b/src/policy/targetbalancertest.cpp
@@ -13,7 +13,7 @@
 const FailureDomain Here("here");
 const FailureDomain There("there");
 
-// A service of targets with four slots each, that answer in 300 ms.
+// A service of targets with four slots each, that response in 300 ms.
 class Balanced
 {
 public:
@@ -32,15 +32,15 @@
             targets.push_back(listed);
         }
         balancer.configure(targets);
-        once.name = "once";
-        once.kind = RouteKind::Once;
-        once.targetLatency = Millis(1'200);
-        idempotent = once;
+        nonIdempotent.name = "once";
+        nonIdempotent.kind = RouteKind::NonIdempotent;
+        nonIdempotent.targetLatency = Millis(1'200);
+        idempotent = nonIdempotent;
         idempotent.name = "idempotent";
         idempotent.kind = RouteKind::Idempotent;
         large = idempotent;
         large.name = "large";
-        large.kind = RouteKind::LargeAnswer;
+        large.kind = RouteKind::LargeResponse;
     }
 
     static TargetName name(std::size_t index)
@@ -57,10 +57,10 @@
 
     void run(std::size_t index, const HostRoute &route, AttemptResult result, Instant now, std::size_t bytes = 400)
     {
-        AttemptEnd end;
+        AttemptOutcome end;
         end.result = result;
         end.latency = Millis(300);
-        end.answerBytes = bytes;
+        end.responseBytes = bytes;
         balancer.begin(name(index), route, now);
         balancer.end(name(index), route, now, end, now);
     }
@@ -78,7 +78,7 @@
 
     std::vector<ListedTarget> targets;
     TargetBalancer balancer;
-    HostRoute once;
+    HostRoute nonIdempotent;
     HostRoute idempotent;
     HostRoute large;
 };
@@ -91,20 +91,20 @@
 TEST(TargetBalancer, equalTargetsShareTheRequests)
 {
     constexpr int Requests = 200;
-    constexpr int UnderWay = 3;
+    constexpr int InProgress = 3;
     Balanced service({ Here, Here, Here });
     std::vector<std::pair<TargetName, Instant>> begun;
     std::map<TargetName, int> counts;
     for (int i = 0; i < Requests; ++i) {
         const Instant now = Start + Millis(100) * i;
-        if (i >= UnderWay) {
-            const auto &[id, started] = begun[static_cast<std::size_t>(i - UnderWay)];
-            AttemptEnd end;
+        if (i >= InProgress) {
+            const auto &[id, started] = begun[static_cast<std::size_t>(i - InProgress)];
+            AttemptOutcome end;
             end.latency = now - started;
-            service.balancer.end(id, service.once, started, end, now);
+            service.balancer.end(id, service.nonIdempotent, started, end, now);
         }
-        const TargetName id = service.balancer.choose({ &service.once, {}, {} }, now)->id;
-        service.balancer.begin(id, service.once, now);
+        const TargetName id = service.balancer.choose({ &service.nonIdempotent, {}, {} }, now)->id;
+        service.balancer.begin(id, service.nonIdempotent, now);
         begun.emplace_back(id, now);
         ++counts[id];
     }
@@ -114,10 +114,10 @@
     }
 }
 
-TEST(TargetBalancer, withoutTargetsThereIsNoChoice)
+TEST(TargetBalancer, choosesNothingWithoutTargets)
 {
     Balanced service({});
-    CHECK_FALSE(service.balancer.choose({ &service.once, {}, {} }, Start).has_value());
+    CHECK_FALSE(service.balancer.choose({ &service.nonIdempotent, {}, {} }, Start).has_value());
 }
 
 TEST(TargetBalancer, drainingAndExcludedTargetsAreNeverChosen)
@@ -125,33 +125,33 @@
     Balanced service({ Here, Here, Here });
     service.targets[0].target.draining = true;
     service.balancer.configure(service.targets);
-    const auto chosen = service.balancer.choose({ &service.once, { Balanced::name(1) }, {} }, Start);
+    const auto chosen = service.balancer.choose({ &service.nonIdempotent, { Balanced::name(1) }, {} }, Start);
     CHECK_TRUE(chosen->id == Balanced::name(2));
 }
 
-TEST(TargetBalancer, targetWhoseAddressAnswersUnderAnotherIdIsNotChosenAgain)
+TEST(TargetBalancer, removedTargetIsNotChosenAgain)
 {
     Balanced service({ Here, Here });
-    service.balancer.noteGone(Balanced::name(0));
-    CHECK_EQUAL(0, service.choices(service.once, Start)[Balanced::name(0)]);
+    service.balancer.markRemoved(Balanced::name(0));
+    CHECK_EQUAL(0, service.choices(service.nonIdempotent, Start)[Balanced::name(0)]);
 }
 
-TEST(TargetBalancer, requestThatRunsOnceKeepsAwayFromATargetThatResetOne)
+TEST(TargetBalancer, nonIdempotentRequestAvoidsATargetThatResetOne)
 {
     Balanced service({ Here, Here });
-    service.run(0, service.once, AttemptResult::Reset, Start);
-    CHECK_EQUAL(0, service.choices(service.once, Start + Seconds(2))[Balanced::name(0)]);
+    service.run(0, service.nonIdempotent, AttemptResult::Reset, Start);
+    CHECK_EQUAL(0, service.choices(service.nonIdempotent, Start + Seconds(2))[Balanced::name(0)]);
 }
 
-TEST(TargetBalancer, failureIsForgottenInTime)
+TEST(TargetBalancer, failureLosesItsWeightOverTime)
 {
     Balanced service({ Here, Here });
-    service.run(0, service.once, AttemptResult::Reset, Start);
-    CHECK_TRUE(service.choices(service.once, Start + Seconds(90))[Balanced::name(0)] > 20);
+    service.run(0, service.nonIdempotent, AttemptResult::Reset, Start);
+    CHECK_TRUE(service.choices(service.nonIdempotent, Start + Seconds(90))[Balanced::name(0)] > 20);
 }
 
 // Failure: healthy capacity is lost: all requests wait at one target though another is idle.
-TEST(TargetBalancer, suspectIsUsedOnceTheOthersAreFull)
+TEST(TargetBalancer, suspectedTargetIsUsedWhenTheOthersAreFull)
 {
     Balanced service({ Here, Here });
     service.run(0, service.idempotent, AttemptResult::ServerError, Start);
@@ -163,14 +163,14 @@
 }
 
 // Failure: a target that was restarted is avoided for what it did before, or counted as loaded for ever.
-TEST(TargetBalancer, OfATargetThatHasStartedAgainNothingIsKnown)
+TEST(TargetBalancer, RestartedTargetHasNoHistory)
 {
     std::vector<Endpoint> restarted;
     Balanced service({ Here, Here }, {}, [&restarted](const Endpoint &endpoint) {
         restarted.push_back(endpoint);
     });
-    service.run(0, service.once, AttemptResult::Reset, Start);
-    service.balancer.begin(Balanced::name(0), service.once, Start);
+    service.run(0, service.nonIdempotent, AttemptResult::Reset, Start);
+    service.balancer.begin(Balanced::name(0), service.nonIdempotent, Start);
     service.targets[0].target.startedMillis = 5;
     service.balancer.configure(service.targets);
     CHECK_EQUAL(1, restarted.size());
@@ -178,46 +178,46 @@
     const std::vector<BalancedTarget> known = service.balancer.dump(Start);
     DOUBLES_EQUAL(known[0].risk, known[1].risk, 0.05);
     CHECK_EQUAL(0, known[0].inFlight + known[1].inFlight);
-    AttemptEnd end;
+    AttemptOutcome end;
     end.result = AttemptResult::Timeout;
-    CHECK_FALSE(service.balancer.end(Balanced::name(0), service.once, Start, end, Start).has_value());
+    CHECK_FALSE(service.balancer.end(Balanced::name(0), service.nonIdempotent, Start, end, Start).has_value());
 }
 
 TEST(TargetBalancer, leastLoadedTargetIsChosen)
 {
     Balanced service({ Here, Here });
-    service.balancer.begin(Balanced::name(0), service.once, Start);
-    service.balancer.begin(Balanced::name(0), service.once, Start);
-    CHECK_EQUAL(0, service.choices(service.once, Start)[Balanced::name(0)]);
+    service.balancer.begin(Balanced::name(0), service.nonIdempotent, Start);
+    service.balancer.begin(Balanced::name(0), service.nonIdempotent, Start);
+    CHECK_EQUAL(0, service.choices(service.nonIdempotent, Start)[Balanced::name(0)]);
 }
 
 TEST(TargetBalancer, loadOfOtherCallersCounts)
 {
     Balanced service({ Here, Here });
-    AttemptEnd end;
+    AttemptOutcome end;
     end.latency = Millis(300);
     end.load = ReportedLoad { 4, 3, 4 };
-    service.balancer.begin(Balanced::name(0), service.once, Start);
-    service.balancer.end(Balanced::name(0), service.once, Start, end, Start);
-    CHECK_EQUAL(0, service.choices(service.once, Start)[Balanced::name(0)]);
+    service.balancer.begin(Balanced::name(0), service.nonIdempotent, Start);
+    service.balancer.end(Balanced::name(0), service.nonIdempotent, Start, end, Start);
+    CHECK_EQUAL(0, service.choices(service.nonIdempotent, Start)[Balanced::name(0)]);
 }
 
 // Failure: most of the bytes that are billed between failure domains belong to requests whose answers are small.
 TEST(TargetBalancer, largeRequestsStayInTheirDomain)
 {
     Balanced service({ Here, There });
-    service.run(0, service.once, AttemptResult::Success, Start);
-    service.run(1, service.once, AttemptResult::Success, Start);
+    service.run(0, service.nonIdempotent, AttemptResult::Success, Start);
+    service.run(1, service.nonIdempotent, AttemptResult::Success, Start);
     for (int i = 0; i < 2; ++i) {
-        service.balancer.begin(Balanced::name(0), service.once, Start);
+        service.balancer.begin(Balanced::name(0), service.nonIdempotent, Start);
     }
-    ChooseTarget wanted { &service.once, {}, {}, false, 0 };
-    STRCMP_EQUAL("target-1", service.balancer.choose(wanted, Start)->id.value().c_str());
-    wanted.requestBytes = 90'000;
-    STRCMP_EQUAL("target-0", service.balancer.choose(wanted, Start)->id.value().c_str());
+    TargetSelection selection { &service.nonIdempotent, {}, {}, false, 0 };
+    STRCMP_EQUAL("target-1", service.balancer.choose(selection, Start)->id.value().c_str());
+    selection.requestBytes = 90'000;
+    STRCMP_EQUAL("target-0", service.balancer.choose(selection, Start)->id.value().c_str());
 }
 
-TEST(TargetBalancer, largeAnswersStayInTheirDomain)
+TEST(TargetBalancer, largeResponsesStayInTheirDomain)
 {
     Balanced service({ Here, There });
     for (int i = 0; i < 5; ++i) {
@@ -227,18 +227,18 @@
     CHECK_EQUAL(0, service.choices(service.large, Start)[Balanced::name(1)]);
 }
 
-// Failure: requests that run only once are sent, one after the other, to a target that answers none of them.
-TEST(TargetBalancer, silenceOfATargetWithRequestsUnderWayCounts)
+// Failure: requests that run only nonIdempotent are sent, one after the other, to a target that answers none of them.
+TEST(TargetBalancer, pendingRequestsWithoutAResponseCount)
 {
     Balanced service({ Here, Here });
     for (int i = 0; i < 30; ++i) {
-        service.run(i % 2, service.once, AttemptResult::Success, Start);
+        service.run(i % 2, service.nonIdempotent, AttemptResult::Success, Start);
     }
     const Instant later = Start + Millis(1'500);
-    service.balancer.begin(Balanced::name(0), service.once, Start);
-    service.balancer.begin(Balanced::name(1), service.once, later);
-    service.balancer.begin(Balanced::name(1), service.once, later);
-    CHECK_EQUAL(0, service.choices(service.once, later)[Balanced::name(0)]);
+    service.balancer.begin(Balanced::name(0), service.nonIdempotent, Start);
+    service.balancer.begin(Balanced::name(1), service.nonIdempotent, later);
+    service.balancer.begin(Balanced::name(1), service.nonIdempotent, later);
+    CHECK_EQUAL(0, service.choices(service.nonIdempotent, later)[Balanced::name(0)]);
 }
 
 TEST(TargetBalancer, lateHeartbeatCountsOnlyWhileTheListIsFresh)
@@ -247,107 +247,108 @@
     const Instant late = Start + Seconds(5);
     service.targets[1].lastHeartbeat = late;
     service.balancer.configure(service.targets);
-    CHECK_TRUE(service.choices(service.once, late)[Balanced::name(0)] > 20);
+    CHECK_TRUE(service.choices(service.nonIdempotent, late)[Balanced::name(0)] > 20);
     service.balancer.setListFresh(true);
-    CHECK_EQUAL(0, service.choices(service.once, late)[Balanced::name(0)]);
+    CHECK_EQUAL(0, service.choices(service.nonIdempotent, late)[Balanced::name(0)]);
 }
 
-TEST(TargetBalancer, whatOtherProxiesSawCounts)
+TEST(TargetBalancer, evidenceOfOtherProxiesCounts)
 {
     Balanced service({ Here, Here });
-    const double reset = SicknessModel::evidenceOf(AttemptResult::Reset).logRatio();
-    service.balancer.noteRemote(Balanced::name(0), AttemptResult::Reset, reset, Start, Start);
-    CHECK_EQUAL(0, service.choices(service.once, Start)[Balanced::name(0)]);
+    const double reset = FaultModel::evidenceOf(AttemptResult::Reset).logRatio();
+    service.balancer.addRemoteEvidence(Balanced::name(0), AttemptResult::Reset, reset, Start, Start);
+    CHECK_EQUAL(0, service.choices(service.nonIdempotent, Start)[Balanced::name(0)]);
 }
 
-TEST(TargetBalancer, newsAreTakenOnceForTheOthers)
+TEST(TargetBalancer, takeUpdatesReturnsEachUpdateOnce)
 {
     Balanced service({ Here, Here });
-    service.run(1, service.once, AttemptResult::Success, Start);
-    const auto news = service.balancer.takeNews();
-    CHECK_EQUAL(1, news.size());
-    CHECK_TRUE(news.front().answered);
-    CHECK_EQUAL(0, service.balancer.takeNews().size());
+    service.run(1, service.nonIdempotent, AttemptResult::Success, Start);
+    const auto unreported = service.balancer.takeUpdates();
+    CHECK_EQUAL(1, unreported.size());
+    CHECK_TRUE(unreported.front().responded);
+    CHECK_EQUAL(0, service.balancer.takeUpdates().size());
 }
 
-TEST(TargetBalancer, targetWithAConnectionAtHandIsPreferredAmongEquals)
+TEST(TargetBalancer, connectedTargetIsPreferredAmongEquals)
 {
     Balanced service({ Here, Here });
     const Endpoint connected = service.targets[1].target.endpoint;
-    const ChooseTarget wanted { &service.once, {}, [&connected](const Endpoint &endpoint) {
-                                   return endpoint == connected;
-                               } };
+    const TargetSelection selection { &service.nonIdempotent, {}, [&connected](const Endpoint &endpoint) {
+                                         return endpoint == connected;
+                                     } };
     for (int i = 0; i < 50; ++i) {
-        CHECK_TRUE(service.balancer.choose(wanted, Start)->id == Balanced::name(1));
+        CHECK_TRUE(service.balancer.choose(selection, Start)->id == Balanced::name(1));
     }
 }
 
-TEST(TargetBalancer, latenciesAreKnownAfterEnoughAnswers)
+TEST(TargetBalancer, latencyQuantileNeedsEnoughResponses)
 {
     Balanced service({ Here });
-    CHECK_FALSE(service.balancer.latencyQuantile(service.once, 0.5).has_value());
+    CHECK_FALSE(service.balancer.latencyQuantile(service.nonIdempotent, 0.5).has_value());
     for (int i = 0; i < 30; ++i) {
-        service.run(0, service.once, AttemptResult::Success, Start);
+        service.run(0, service.nonIdempotent, AttemptResult::Success, Start);
     }
-    const Duration median = *service.balancer.latencyQuantile(service.once, 0.5);
+    const Duration median = *service.balancer.latencyQuantile(service.nonIdempotent, 0.5);
     CHECK_TRUE(median > Millis(200) && median < Millis(400));
 }
 
 // Failure: most of a service's requests go to a few targets while healthy ones stay idle for seconds.
-TEST(TargetBalancer, whereMostTargetsAreUnusedTheyAreUsedOneAfterTheOther)
+TEST(TargetBalancer, unusedTargetsAreUsedInTurnWhenMostAreUnused)
 {
     Balanced service(std::vector<FailureDomain>(10, Here));
     for (std::size_t index = 2; index < 10; ++index) {
-        service.run(index, service.once, AttemptResult::Reset, Start);
+        service.run(index, service.nonIdempotent, AttemptResult::Reset, Start);
     }
     const Instant later = Start + Seconds(2);
-    service.run(0, service.once, AttemptResult::Success, later);
-    service.run(1, service.once, AttemptResult::Success, later);
+    service.run(0, service.nonIdempotent, AttemptResult::Success, later);
+    service.run(1, service.nonIdempotent, AttemptResult::Success, later);
     std::set<TargetName> used;
     for (int i = 0; i < 40; ++i) {
-        const std::optional<ChosenTarget> chosen = service.balancer.choose({ &service.once, {}, {} }, later);
-        service.balancer.begin(chosen->id, service.once, later);
+        const std::optional<ChosenTarget> chosen = service.balancer.choose({ &service.nonIdempotent, {}, {} }, later);
+        service.balancer.begin(chosen->id, service.nonIdempotent, later);
         used.insert(chosen->id);
     }
     CHECK_TRUE(used.size() >= 7);
 }
 
-// Failure: requests that run only once are lost to targets that have failed a moment ago, while others failed long ago.
-TEST(TargetBalancer, whatFailedLongestAgoIsTriedFirst)
+// Failure: requests that run only nonIdempotent are lost to targets that have failed a moment ago, while others failed
+// long ago.
+TEST(TargetBalancer, targetThatFailedLongestAgoIsTriedFirst)
 {
     Balanced service(std::vector<FailureDomain>(10, Here));
     for (std::size_t index = 2; index < 10; ++index) {
-        service.run(index, service.once, AttemptResult::Reset, Start - Seconds(static_cast<int>(index)));
+        service.run(index, service.nonIdempotent, AttemptResult::Reset, Start - Seconds(static_cast<int>(index)));
     }
     const Instant later = Start + Seconds(2);
-    service.run(0, service.once, AttemptResult::Success, later);
-    service.run(1, service.once, AttemptResult::Success, later);
-    std::map<TargetName, int> chosen = service.choices(service.once, later);
+    service.run(0, service.nonIdempotent, AttemptResult::Success, later);
+    service.run(1, service.nonIdempotent, AttemptResult::Success, later);
+    std::map<TargetName, int> chosen = service.choices(service.nonIdempotent, later);
     chosen.erase(Balanced::name(0));
     chosen.erase(Balanced::name(1));
     CHECK_EQUAL(1, chosen.size());
     CHECK_TRUE(chosen.contains(Balanced::name(9)));
 }
 
-// Failure: most of the few targets that are well get nothing for two seconds, while nearly all others are sick.
-TEST(TargetBalancer, whatFailedSecondsAgoIsUsedWhereMostAreSick)
+// Failure: most of the few targets that are well get nothing for two seconds, while nearly all others are faulty.
+TEST(TargetBalancer, earlierFailedTargetsAreUsedWhenMostAreFaulty)
 {
-    constexpr std::size_t Sick = 20;
-    Balanced service(std::vector<FailureDomain>(Sick + 4, Here));
+    constexpr std::size_t Faulty = 20;
+    Balanced service(std::vector<FailureDomain>(Faulty + 4, Here));
     const Instant later = Start + Seconds(4);
     for (std::size_t index = 0; index < 3; ++index) {
-        service.run(index, service.once, AttemptResult::Reset, Start);
+        service.run(index, service.nonIdempotent, AttemptResult::Reset, Start);
     }
     for (int round = 0; round < 3; ++round) {
-        for (std::size_t index = 3; index < Sick + 3; ++index) {
-            service.run(index, service.once, AttemptResult::Reset, later);
+        for (std::size_t index = 3; index < Faulty + 3; ++index) {
+            service.run(index, service.nonIdempotent, AttemptResult::Reset, later);
         }
     }
-    service.run(Sick + 3, service.once, AttemptResult::Success, later);
+    service.run(Faulty + 3, service.nonIdempotent, AttemptResult::Success, later);
     std::set<TargetName> used;
     for (int i = 0; i < 40; ++i) {
-        const std::optional<ChosenTarget> chosen = service.balancer.choose({ &service.once, {}, {} }, later);
-        service.balancer.begin(chosen->id, service.once, later);
+        const std::optional<ChosenTarget> chosen = service.balancer.choose({ &service.nonIdempotent, {}, {} }, later);
+        service.balancer.begin(chosen->id, service.nonIdempotent, later);
         used.insert(chosen->id);
     }
     CHECK_TRUE(used.contains(Balanced::name(0)) && used.contains(Balanced::name(1))
@@ -355,60 +356,63 @@
 }
 
 // Failure: a third of the bookings that are lost go to targets that have just failed one, while nearly all are well.
-TEST(TargetBalancer, whatHasJustFailedIsLeftAloneWhereMostAreWell)
+TEST(TargetBalancer, recentlyFailedTargetsAreAvoidedWhenMostAreHealthy)
 {
     constexpr std::size_t Targets = 34;
-    constexpr std::size_t Sick = 7;
+    constexpr std::size_t Faulty = 7;
     Balanced service(std::vector<FailureDomain>(Targets, Here));
     const Instant later = Start + Millis(1'700);
     for (std::size_t index = 0; index < Targets; ++index) {
-        const bool sick = index < Sick;
-        service.run(index, service.once, sick ? AttemptResult::Reset : AttemptResult::Success, sick ? Start : later);
-    }
-    const std::map<TargetName, int> chosen = service.choices(service.once, later);
-    for (std::size_t index = 0; index < Sick; ++index) {
+        const bool faulty = index < Faulty;
+        service.run(index,
+                    service.nonIdempotent,
+                    faulty ? AttemptResult::Reset : AttemptResult::Success,
+                    faulty ? Start : later);
+    }
+    const std::map<TargetName, int> chosen = service.choices(service.nonIdempotent, later);
+    for (std::size_t index = 0; index < Faulty; ++index) {
         CHECK_FALSE(chosen.contains(Balanced::name(index)));
     }
 }
 
-TEST(TargetBalancer, fewUnusedSuspectsAreLeftAlone)
+TEST(TargetBalancer, fewUnusedSuspectedTargetsAreAvoided)
 {
     Balanced service(std::vector<FailureDomain>(10, Here));
     for (std::size_t index = 0; index < 2; ++index) {
-        service.run(index, service.once, AttemptResult::Reset, Start);
+        service.run(index, service.nonIdempotent, AttemptResult::Reset, Start);
     }
     const Instant later = Start + Seconds(2);
     for (std::size_t index = 2; index < 10; ++index) {
-        service.run(index, service.once, AttemptResult::Success, later);
+        service.run(index, service.nonIdempotent, AttemptResult::Success, later);
     }
-    const std::map<TargetName, int> chosen = service.choices(service.once, later);
+    const std::map<TargetName, int> chosen = service.choices(service.nonIdempotent, later);
     CHECK_FALSE(chosen.contains(Balanced::name(0)) || chosen.contains(Balanced::name(1)));
 }
 
 // Who asks why a request was kept from a target, or wasn't, needs to know when the target came under suspicion.
-TEST(TargetBalancer, TellsOnceThatATargetIsSuspectedAndOnceThatItIsTrusted)
+TEST(TargetBalancer, ReportsEachSuspicionChangeOnce)
 {
-    std::vector<SuspicionChange> told;
-    Balanced balanced({ Here, Here }, [&told](const SuspicionChange &change) {
-        told.push_back(change);
+    std::vector<SuspicionChange> changes;
+    Balanced balanced({ Here, Here }, [&changes](const SuspicionChange &change) {
+        changes.push_back(change);
     });
     Instant now = Start;
     for (int i = 0; i < 3; ++i) {
-        balanced.run(0, balanced.once, AttemptResult::Reset, now += Millis(10));
+        balanced.run(0, balanced.nonIdempotent, AttemptResult::Reset, now += Millis(10));
     }
-    LONGS_EQUAL(1, told.size());
-    CHECK(told[0].suspected);
-    STRCMP_EQUAL("target-0", told[0].id.value().c_str());
+    LONGS_EQUAL(1, changes.size());
+    CHECK(changes[0].suspected);
+    STRCMP_EQUAL("target-0", changes[0].id.value().c_str());
     for (int i = 0; i < 10; ++i) {
-        balanced.run(0, balanced.once, AttemptResult::Success, now += Millis(10));
+        balanced.run(0, balanced.nonIdempotent, AttemptResult::Success, now += Millis(10));
     }
-    LONGS_EQUAL(2, told.size());
-    CHECK_FALSE(told[1].suspected);
-    CHECK(told[1].evidence == AttemptResult::Success);
+    LONGS_EQUAL(2, changes.size());
+    CHECK_FALSE(changes[1].suspected);
+    CHECK(changes[1].evidence == AttemptResult::Success);
 }
 
 // Failure: a download fails at one target and then at the next, which was known to be doubtful.
-TEST(TargetBalancer, TheLastAttemptGoesWhereItIsSafest)
+TEST(TargetBalancer, TheLastAttemptUsesTheTargetWithTheLowestRisk)
 {
     Balanced balanced({ Here, There });
     Instant now = Start;
@@ -419,25 +423,25 @@
     for (int i = 0; i < 2; ++i) {
         balanced.run(0, balanced.large, AttemptResult::ServerError, now += Millis(10));
     }
-    ChooseTarget first { &balanced.large, {}, {} };
-    ChooseTarget last = first;
+    TargetSelection first { &balanced.large, {}, {} };
+    TargetSelection last = first;
     last.isLast = true;
     STRCMP_EQUAL("target-0", balanced.balancer.choose(first, now)->id.value().c_str());
     STRCMP_EQUAL("target-1", balanced.balancer.choose(last, now)->id.value().c_str());
 }
 
 // Failure: targets that reset requests get one each few seconds, each of which is lost.
-TEST(TargetBalancer, spreadingKeepsRequestsThatRunOnceFromSuspects)
+TEST(TargetBalancer, unusedSuspectedTargetsGetNoNonIdempotentRequests)
 {
     constexpr std::size_t Targets = 10;
     constexpr std::size_t Suspects = 4;
     Balanced balanced(std::vector<FailureDomain>(Targets, Here));
     Instant now = Start;
     for (std::size_t index = 0; index < Suspects; ++index) {
-        balanced.run(index, balanced.once, AttemptResult::Reset, now);
+        balanced.run(index, balanced.nonIdempotent, AttemptResult::Reset, now);
     }
     now += Millis(1'700);
-    const auto chosen = balanced.choices(balanced.once, now);
+    const auto chosen = balanced.choices(balanced.nonIdempotent, now);
     for (std::size_t index = 0; index < Suspects; ++index) {
         CHECK_FALSE(chosen.contains(Balanced::name(index)));
     }
@@ -445,17 +449,17 @@
 }
 
 // Failure: while many of a service's requests fail, a third of its sound targets gets none for two seconds.
-TEST(TargetBalancer, whereManyAreUnusedDoubtfulTargetsAreTriedAsWell)
+TEST(TargetBalancer, riskyTargetsAreTriedWhenManyAreUnused)
 {
     Balanced balanced(std::vector<FailureDomain>(10, Here));
     for (std::size_t index = 0; index < 4; ++index) {
-        balanced.run(index, balanced.once, AttemptResult::Reset, Start);
+        balanced.run(index, balanced.nonIdempotent, AttemptResult::Reset, Start);
     }
     for (std::size_t index = 4; index < 10; ++index) {
-        balanced.run(index, balanced.once, AttemptResult::Success, Start + Millis(1'600));
+        balanced.run(index, balanced.nonIdempotent, AttemptResult::Success, Start + Millis(1'600));
     }
     const Instant now = Start + Millis(1'700);
-    const auto chosen = balanced.choices(balanced.once, now);
+    const auto chosen = balanced.choices(balanced.nonIdempotent, now);
     CHECK(chosen.contains(Balanced::name(0)) || chosen.contains(Balanced::name(1)) || chosen.contains(Balanced::name(2))
           || chosen.contains(Balanced::name(3)));
 }
@@ -464,12 +468,12 @@
 {
 
 // Two targets whose route's answers take 300 ms.
-struct Answering : Balanced {
-    Answering()
+struct RespondingService : Balanced {
+    RespondingService()
         : Balanced({ Here, Here })
     {
         for (std::size_t i = 0; i < 60; ++i) {
-            run(i % 2, once, AttemptResult::Success, Start);
+            run(i % 2, nonIdempotent, AttemptResult::Success, Start);
             run(i % 2, idempotent, AttemptResult::Success, Start);
         }
     }
@@ -488,72 +492,74 @@
 } // namespace
 
 // Failure: several proxies in turn lose requests to a target that hangs, each up to the requests' deadline.
-TEST(TargetBalancer, SilenceIsToldToTheOthersBeforeTheAttemptEnds)
+TEST(TargetBalancer, AMissingResponseIsReportedBeforeTheAttemptEnds)
 {
-    Answering one;
-    Answering other;
-    one.balancer.begin(Balanced::name(0), one.once, Start);
-    std::optional<Instant> due = one.balancer.nextSilence(Balanced::name(0), Start);
+    RespondingService one;
+    RespondingService other;
+    one.balancer.begin(Balanced::name(0), one.nonIdempotent, Start);
+    std::optional<Instant> due = one.balancer.nextNoResponseReport(Balanced::name(0), Start);
     while (due) {
         CHECK(*due < Start + Millis(600));
-        const std::optional<double> news = one.balancer.takeSilence(Balanced::name(0), Start, Start + Millis(600));
-        other.balancer.noteRemote(
-            Balanced::name(0), AttemptResult::Timeout, news.value_or(0), Start, Start + Millis(600));
-        due = one.balancer.nextSilence(Balanced::name(0), Start);
+        const std::optional<double> unreported =
+            one.balancer.takeNoResponseEvidence(Balanced::name(0), Start, Start + Millis(600));
+        other.balancer.addRemoteEvidence(
+            Balanced::name(0), AttemptResult::Timeout, unreported.value_or(0), Start, Start + Millis(600));
+        due = one.balancer.nextNoResponseReport(Balanced::name(0), Start);
     }
     CHECK(other.riskOf(0, Start + Millis(600)) > 10 * other.riskOf(1, Start + Millis(600)));
-    CHECK_EQUAL(0, other.choices(other.once, Start + Millis(600))[Balanced::name(0)]);
+    CHECK_EQUAL(0, other.choices(other.nonIdempotent, Start + Millis(600))[Balanced::name(0)]);
 }
 
-TEST(TargetBalancer, AnAnswerAfterToldSilenceIsToldAtOnceAndTakesItBack)
+TEST(TargetBalancer, AResponseAfterANoResponseReportIsReportedImmediately)
 {
-    Answering service;
-    service.balancer.begin(Balanced::name(0), service.once, Start);
+    RespondingService service;
+    service.balancer.begin(Balanced::name(0), service.nonIdempotent, Start);
     const Instant later = Start + Millis(600);
-    const std::optional<double> silence = service.balancer.takeSilence(Balanced::name(0), Start, later);
-    AttemptEnd end;
+    const std::optional<double> noResponse = service.balancer.takeNoResponseEvidence(Balanced::name(0), Start, later);
+    AttemptOutcome end;
     end.latency = Millis(600);
-    const std::optional<double> answer = service.balancer.end(Balanced::name(0), service.once, Start, end, later);
-    CHECK(silence && answer);
-    DOUBLES_EQUAL(SicknessModel::evidenceOf(AttemptResult::Success).logRatio(), *silence + *answer, 1e-9);
+    const std::optional<double> response =
+        service.balancer.end(Balanced::name(0), service.nonIdempotent, Start, end, later);
+    CHECK(noResponse && response);
+    DOUBLES_EQUAL(FaultModel::evidenceOf(AttemptResult::Success).logRatio(), *noResponse + *response, 1e-9);
 }
 
 // Failure: the target that a request was just rescued from is chosen again for the next one.
-TEST(TargetBalancer, AnAttemptThatLostToItsHedgeIsRememberedByItsSilence)
+TEST(TargetBalancer, AnAttemptThatLostToItsHedgeRaisesTheRisk)
 {
-    Answering service;
+    RespondingService service;
     service.balancer.begin(Balanced::name(0), service.idempotent, Start);
     const Instant later = Start + Millis(900);
-    AttemptEnd end;
+    AttemptOutcome end;
     end.result = AttemptResult::Cancelled;
     CHECK(service.balancer.end(Balanced::name(0), service.idempotent, Start, end, later).has_value());
     CHECK(service.riskOf(0, later) > 10 * service.riskOf(1, later));
 }
 
-TEST(TargetBalancer, ATargetThatHasJustAnsweredIsNotDoubtedForALateHeartbeat)
+TEST(TargetBalancer, ALateHeartbeatIsIgnoredAfterARecentResponse)
 {
     Balanced service({ Here });
     service.balancer.setListFresh(true);
     const Instant late = Start + Seconds(5);
-    service.run(0, service.once, AttemptResult::Success, late);
+    service.run(0, service.nonIdempotent, AttemptResult::Success, late);
     CHECK(service.balancer.dump(late).front().risk < 0.1);
 }
 
 // Failure: while a tenth of a service's requests fail, targets that are well get nothing for two seconds.
-TEST(TargetBalancer, UnusedTargetsThatLookWellAreUsedByRequestsThatRunOnce)
+TEST(TargetBalancer, NonIdempotentRequestsUseUnusedHealthyTargets)
 {
     Balanced service(std::vector<FailureDomain>(8, Here));
     Instant now = Start + Seconds(2);
     const Endpoint connected = service.targets[0].target.endpoint;
-    ChooseTarget wanted { &service.once, {}, [&connected](const Endpoint &endpoint) {
-                             return endpoint == connected;
-                         } };
+    TargetSelection selection { &service.nonIdempotent, {}, [&connected](const Endpoint &endpoint) {
+                                   return endpoint == connected;
+                               } };
     std::map<TargetName, int> counts;
     for (int i = 0; i < 80; ++i) {
-        const std::optional<ChosenTarget> chosen = service.balancer.choose(wanted, now);
+        const std::optional<ChosenTarget> chosen = service.balancer.choose(selection, now);
         ++counts[chosen->id];
-        service.balancer.begin(chosen->id, service.once, now);
-        service.balancer.end(chosen->id, service.once, now, AttemptEnd {}, now);
+        service.balancer.begin(chosen->id, service.nonIdempotent, now);
+        service.balancer.end(chosen->id, service.nonIdempotent, now, AttemptOutcome {}, now);
         now += Millis(20);
     }
     CHECK_EQUAL(8, counts.size());
--- a/src/policy/targetchooser.cpp
+++ b/src/policy/targetchooser.cpp
@@ -40,8 +40,8 @@
 {
     const double latency =
         std::clamp(toSeconds(target.expectedLatency), average / LatencyBound, average * LatencyBound);
-    const bool near = target.failureDomain == request.failureDomain;
-    return latency * (1 + occupancy(target)) + (near ? 0 : toSeconds(CrossDomain));
+    const bool sameDomain = target.failureDomain == request.failureDomain;
+    return latency * (1 + occupancy(target)) + (sameDomain ? 0 : toSeconds(CrossDomain));
 }
 
 bool hasRoom(const TargetView &target)
@@ -103,7 +103,7 @@
 
 } // namespace internal
 
-bool takesWork(const TargetView &target)
+bool acceptsRequests(const TargetView &target)
 {
     switch (target.phase) {
     case TargetPhase::Healthy:
@@ -124,7 +124,7 @@
 {
     internal::Candidates candidates;
     for (const TargetView &target : targets) {
-        if (takesWork(target) && !internal::isExcluded(request, target.index)) {
+        if (acceptsRequests(target) && !internal::isExcluded(request, target.index)) {
             candidates.push_back(&target);
         }
     }
--- a/src/policy/targetchoosertest.cpp
+++ b/src/policy/targetchoosertest.cpp
@@ -39,7 +39,7 @@
 
 TEST_GROUP(TargetChooser) {};
 
-TEST(TargetChooser, choosesOnlyWhatMayTakeTheRequest)
+TEST(TargetChooser, choosesOnlyTargetsThatMayAcceptTheRequest)
 {
     CHECK_TRUE(rc::check("allowed", [](std::uint32_t seed, bool idempotent) {
         auto targets = *rc::gen::container<std::vector<TargetView>>(anyTarget());
@@ -60,7 +60,7 @@
     }));
 }
 
-TEST(TargetChooser, takesASuspectedTargetInFullWhenNoOtherHasRoom)
+TEST(TargetChooser, usesASuspectedTargetInFullWhenNoOtherHasCapacity)
 {
     std::vector<TargetView> targets { healthyTarget(0), healthyTarget(1) };
     targets[0].inFlight = targets[0].limit;
@@ -70,7 +70,7 @@
     CHECK_TRUE(choose(targets, {}, random) == TargetIndex { 1 });
 }
 
-TEST(TargetChooser, doesNotBelieveALoadBelowItsOwn)
+TEST(TargetChooser, ignoresAReportedLoadBelowItsOwn)
 {
     std::vector<TargetView> targets { healthyTarget(0), healthyTarget(1) };
     targets[0].inFlight = 3;
--- a/src/policy/targetdirectory.cpp
+++ b/src/policy/targetdirectory.cpp
@@ -32,7 +32,7 @@
     const auto found = m_targets.find(target.id);
     if (found == m_targets.end()) {
         m_targets.emplace(target.id, ListedTarget { target, now, now + target.warmupLeft, std::nullopt });
-        noteChange(target.id);
+        recordChange(target.id);
         return true;
     }
     ListedTarget &listed = found->second;
@@ -42,7 +42,7 @@
     }
     if (target.startedMillis > knownStart) {
         listed = ListedTarget { target, now, now + target.warmupLeft, std::nullopt };
-        noteChange(target.id);
+        recordChange(target.id);
         return true;
     }
     // A target that drains never goes back to work: a record that says so is an older one, read again.
@@ -51,7 +51,7 @@
     listed.removedAt.reset();
     const bool changed = wasRemoved || (!older && !listed.target.sameState(target));
     if (changed) {
-        noteChange(target.id);
+        recordChange(target.id);
     }
     if (older) {
         return changed;
@@ -80,7 +80,7 @@
         return false;
     }
     m_targets.erase(found);
-    noteChange(id);
+    recordChange(id);
     return true;
 }
 
@@ -118,14 +118,14 @@
                          [this](const auto &entry) {
                              const bool lapsed = entry.second.removedAt.has_value();
                              if (lapsed) {
-                                 noteChange(entry.first);
+                                 recordChange(entry.first);
                              }
                              return lapsed;
                          })
            > 0;
 }
 
-void TargetDirectory::noteChange(const TargetName &id)
+void TargetDirectory::recordChange(const TargetName &id)
 {
     ++m_changes;
     m_changed.push_back(id);
--- a/src/policy/targethealth.cpp
+++ b/src/policy/targethealth.cpp
@@ -111,14 +111,15 @@
     }
 }
 
-void ServiceHealth::outstanding(TargetIndex index, Duration oldestAge, Instant now, std::uint32_t waiting)
+void ServiceHealth::observeOutstanding(TargetIndex index, Duration oldestAge, Instant now, std::uint32_t waiting)
 {
     Private::Target *target = d->find(index);
     if (target == nullptr || target->lifecycle.phase() == TargetPhase::Ejected) {
         return;
     }
-    d->detector.outstanding(index, oldestAge, waiting, now);
-    if (target->lifecycle.phase() == TargetPhase::Trial && d->detector.suspicion(index) >= internal::TrialHangs) {
+    d->detector.observeOutstanding(index, oldestAge, waiting, now);
+    if (target->lifecycle.phase() == TargetPhase::Trial
+        && d->detector.suspicion(index) >= internal::TrialHangSuspicion) {
         target->lifecycle.failTrial();
     }
 }
@@ -135,10 +136,10 @@
             continue;
         }
         if (allSlow) {
-            target->sick = false;
+            target->faulty = false;
             target->decisive = 0;
         } else {
-            d->judgeSickness(*target, now);
+            d->assessTarget(*target, now);
         }
         d->updateClaim(*target, now);
     }
@@ -183,14 +184,14 @@
 
 Duration ServiceHealth::reportInterval() const
 {
-    if (d->claims.hasNews()) {
-        return internal::NewsInterval;
+    if (d->claims.needsReport()) {
+        return internal::PendingClaimInterval;
     }
-    const double urgent = internal::UrgentFrom * d->threshold();
+    const double urgent = internal::UrgentThreshold * d->threshold();
     const bool any = std::any_of(d->targets.begin(), d->targets.end(), [&](const auto &target) {
         return target
                && (target->own.suspicion >= urgent || target->joint.suspicion >= urgent || d->claims.claims(target->id)
-                   || d->claims.claimsElsewhere(target->id, d->lastTick) > 0);
+                   || d->claims.countOtherClaims(target->id, d->lastTick) > 0);
     });
     return any ? internal::UrgentInterval : internal::QuietInterval;
 }
--- a/src/policy/targethealthdecisions.cpp
+++ b/src/policy/targethealthdecisions.cpp
@@ -39,12 +39,12 @@
         target.own.suspicion = static_cast<float>(detector.suspicion(index));
         target.own.attempts =
             static_cast<std::uint16_t>(std::min(std::round(detector.recentAttempts(index)), 65'535.0));
-        target.joint = joint.view(target.own, internal::MostFromOneProxy * limit, internal::LeastSupport, now);
+        target.joint = joint.view(target.own, internal::MaxFromOneProxy * limit, internal::MinSupport, now);
         if (peers.empty()) {
             target.joint.suspicion = static_cast<double>(target.own.suspicion);
         }
         if (!target.lifecycle.needsClaim()) {
-            target.badness = target.joint.suspicion;
+            target.faultSeverity = target.joint.suspicion;
         }
     }
 }
@@ -56,58 +56,59 @@
     if (peers.empty()) {
         return view.suspicion;
     }
-    const std::size_t half = (view.informed + 1) / 2;
+    const std::size_t half = (view.observers + 1) / 2;
     if (view.supporters < std::max<std::size_t>(2, half)) {
         return 0;
     }
     const auto proxies = static_cast<double>(1 + peers.size());
     const double fewProxies = std::min(1.0, 1.5 * (proxies - 1) / proxies);
-    const bool contradicted = view.informed > view.supporters;
-    const double share = contradicted ? internal::LeastFromOthers : internal::LeastFromOthersIfNoneContradicts;
+    const bool contradicted = view.observers > view.supporters;
+    const double share = contradicted ? internal::MinShareFromOthers : internal::MinShareFromOthersUncontradicted;
     return std::min(view.suspicion, (view.suspicion - view.largest) / (share * fewProxies));
 }
 
-void ServiceHealth::Private::judgeSickness(Target &target, Instant now)
+void ServiceHealth::Private::assessTarget(Target &target, Instant now)
 {
     target.decisive = decisiveSuspicion(target.joint);
     if (target.lifecycle.phase() == TargetPhase::Draining) {
-        target.sick = false;
+        target.faulty = false;
         return;
     }
     const bool relapse = target.lifecycle.phase() == TargetPhase::SlowStart && target.lifecycle.needsClaim();
     const double needed = threshold() * (relapse ? internal::RelapseThreshold : 1);
-    // Most others have ejected it and send no more evidence: what is missing to the threshold here won't come.
-    const bool follows = 2 * claims.claimsElsewhere(target.id, now) > peers.size()
-                         && target.joint.suspicion >= internal::FollowFrom * threshold();
-    const bool everywhere = target.decisive >= needed || follows;
+    // Most others have ejected it and send no more evidence: what is missing to the threshold locallyFaulty won't come.
+    const bool followsOthers = 2 * claims.countOtherClaims(target.id, now) > peers.size()
+                               && target.joint.suspicion >= internal::FollowThreshold * threshold();
+    const bool jointlyFaulty = target.decisive >= needed || followsOthers;
     const double pathThreshold = internal::thresholdOf(settings.detection, 1) + internal::PathMargin;
-    const bool here = !everywhere && static_cast<double>(target.own.suspicion) >= pathThreshold;
-    if (!here) {
+    const bool locallyFaulty = !jointlyFaulty && static_cast<double>(target.own.suspicion) >= pathThreshold;
+    if (!locallyFaulty) {
         target.pathSince = now;
     }
-    const bool path = here && now - target.pathSince >= internal::PathPatience;
+    const bool path = locallyFaulty && now - target.pathSince >= internal::PathTimeout;
     if (path && !target.pathOnly && !target.lifecycle.needsClaim()) {
         emit(Event::PathSuspected, target.name, "seen by this proxy only");
     }
-    if (!target.lifecycle.needsClaim() || everywhere) {
-        target.pathOnly = path && !everywhere;
+    if (!target.lifecycle.needsClaim() || jointlyFaulty) {
+        target.pathOnly = path && !jointlyFaulty;
     }
-    target.sick = everywhere || path;
+    target.faulty = jointlyFaulty || path;
 }
 
 // Returns true if this process may be the one to try an ejected target. One proxy tries first, the one that probes it;
-// the others follow when it finds the target well. If all tried at once, a target that is still sick would hurt as many
-// requests as there are proxies, at each of its trials.
-bool ServiceHealth::Private::mayTry(const Target &target, Instant now) const
+// the others follow when it finds the target well. If all tried at once, a target that is still faulty would hurt as
+// many requests as there are proxies, at each of its trials.
+bool ServiceHealth::Private::mayStartTrial(const Target &target, Instant now) const
 {
     if (target.pathOnly || peers.empty()) {
         return true;
     }
-    std::vector<PeerId> carriers = peers;
-    carriers.push_back(settings.self);
-    const PeerId first = probePlan.probers(carriers, target.id, false).front();
+    std::vector<PeerId> assignedProxies = peers;
+    assignedProxies.push_back(settings.self);
+    const PeerId first = probePlan.probers(assignedProxies, target.id, false).front();
     const PeerKey key = peerKey(first);
-    return first == settings.self || joint.findsWell(key, target.id, now) || !claims.claimedBy(key, target.id, now);
+    return first == settings.self || joint.reportsHealthy(key, target.id, now)
+           || !claims.claimedBy(key, target.id, now);
 }
 
 // Returns true if the targets look as if the service had changed and not single targets.
@@ -123,7 +124,7 @@
         return now < allSlowUntil;
     }
     std::sort(serving.begin(), serving.end());
-    const double from = internal::AllSlowFrom * threshold();
+    const double from = internal::AllSlowThreshold * threshold();
     const auto suspicious = serving.end() - std::lower_bound(serving.begin(), serving.end(), from);
     const auto count = static_cast<double>(serving.size());
     if (static_cast<double>(suspicious) > internal::AllSlowShare * count) {
@@ -131,18 +132,18 @@
             emit(Event::AllSlow, TargetName {}, std::to_string(suspicious) + " of " + std::to_string(serving.size()));
         }
         // The whole service has changed, by load or by something behind it: what was typical a moment ago isn't now.
-        detector.relearn();
-        allSlowUntil = now + internal::AllSlowPause;
+        detector.rebaseline();
+        allSlowUntil = now + internal::AllSlowHold;
     }
     const auto rank = static_cast<std::size_t>(internal::HoldRank * (count - 1));
-    return now < allSlowUntil || serving[rank] >= internal::HoldFrom * threshold();
+    return now < allSlowUntil || serving[rank] >= internal::HoldThreshold * threshold();
 }
 
-// Lowers the weight of as many targets as ejection could take away, the worst ones, and no more: a service whose
+// Lowers the weight of as many targets as ejection could take away, the candidates ones, and no more: a service whose
 // targets are all suspected would otherwise lose its capacity to suspicion alone.
 void ServiceHealth::Private::limitReducedWeights()
 {
-    std::vector<Target *> worst;
+    std::vector<Target *> candidates;
     std::size_t out = 0;
     for (const auto &target : targets) {
         if (!target) {
@@ -151,23 +152,23 @@
         if (target->lifecycle.needsClaim() || target->lifecycle.isUnavailable()) {
             ++out;
         } else {
-            worst.push_back(target.get());
+            candidates.push_back(target.get());
         }
     }
-    std::sort(worst.begin(), worst.end(), [](const Target *left, const Target *right) {
-        return left->badness > right->badness;
+    std::sort(candidates.begin(), candidates.end(), [](const Target *left, const Target *right) {
+        return left->faultSeverity > right->faultSeverity;
     });
     const std::size_t budget = byId.size() - floor();
     const std::size_t left = budget > out ? budget - out : 0;
-    for (std::size_t index = 0; index < worst.size(); ++index) {
-        worst[index]->reduces = index < left;
+    for (std::size_t index = 0; index < candidates.size(); ++index) {
+        candidates[index]->mayReduceWeight = index < left;
     }
 }
 
 void ServiceHealth::Private::updateClaim(Target &target, Instant now)
 {
-    const bool wanted = target.sick || target.lifecycle.needsClaim();
-    if (!wanted) {
+    const bool shouldClaim = target.faulty || target.lifecycle.needsClaim();
+    if (!shouldClaim) {
         claims.release(target.id);
         target.waitsForFloor = false;
         return;
@@ -179,19 +180,19 @@
         }
         return;
     }
-    if (claims.holds(target.id)) {
+    if (claims.isInEffect(target.id)) {
         target.claimedAt = now;
         return;
     }
-    if (now - target.claimedAt > internal::ClaimPatience) {
+    if (now - target.claimedAt > internal::ClaimTimeout) {
         // Unconfirmed claims count against the floor at every other proxy. One that can't come into effect, because a
         // peer doesn't hear us, must not keep the others from ejecting.
-        floorBinds(target, now);
+        recordFloorBinding(target, now);
         claims.release(target.id);
     }
 }
 
-void ServiceHealth::Private::floorBinds(const Target &target, Instant now)
+void ServiceHealth::Private::recordFloorBinding(const Target &target, Instant now)
 {
     Target &waiting = *targets[byId.at(target.id)];
     waiting.waitsForFloor = true;
@@ -212,13 +213,13 @@
         }
     }
     claims.setUnavailable(std::move(unavailable));
-    const auto badness = [this](TargetId id) {
-        return badnessOf(id);
+    const auto faultSeverity = [this](TargetId id) {
+        return faultSeverityOf(id);
     };
-    for (const TargetId id : claims.tick(knownIds(), floor(), badness, now)) {
+    for (const TargetId id : claims.tick(knownIds(), floor(), faultSeverity, now)) {
         const auto found = byId.find(id);
         if (found != byId.end()) {
-            floorBinds(*targets[found->second], now);
+            recordFloorBinding(*targets[found->second], now);
         }
     }
 }
@@ -226,7 +227,7 @@
 void ServiceHealth::Private::ejectConfirmed(Instant now)
 {
     const auto waits = [this](const Target &target) {
-        return target.sick && claims.claims(target.id) && !claims.holds(target.id);
+        return target.faulty && claims.claims(target.id) && !claims.isInEffect(target.id);
     };
     const bool any = std::any_of(targets.begin(), targets.end(), [&waits](const auto &target) {
         return target && waits(*target);
@@ -251,12 +252,12 @@
 
 void ServiceHealth::Private::step(TargetIndex index, Target &target, Instant now)
 {
-    const Judgement judgement { target.badness / threshold(),
-                                target.sick,
-                                claims.holds(target.id),
-                                target.reduces,
-                                target.lifecycle.needsClaim() && mayTry(target, now) };
-    const std::optional<Event> event = target.lifecycle.judge(judgement, now, random);
+    const TargetAssessment assessment { target.faultSeverity / threshold(),
+                                        target.faulty,
+                                        claims.isInEffect(target.id),
+                                        target.mayReduceWeight,
+                                        target.lifecycle.needsClaim() && mayStartTrial(target, now) };
+    const std::optional<Event> event = target.lifecycle.assess(assessment, now, random);
     if (!event) {
         return;
     }
@@ -276,14 +277,14 @@
 {
     const std::string detail = "suspicion " + std::to_string(target.joint.suspicion) + " of "
                                + std::to_string(threshold()) + ", seen by " + std::to_string(target.joint.supporters)
-                               + " of " + std::to_string(target.joint.informed) + (target.pathOnly ? ", path" : "");
+                               + " of " + std::to_string(target.joint.observers) + (target.pathOnly ? ", path" : "");
     emit(event, target.name, detail);
 }
 
-double ServiceHealth::Private::badnessOf(TargetId id) const
+double ServiceHealth::Private::faultSeverityOf(TargetId id) const
 {
     const auto found = byId.find(id);
-    return found == byId.end() ? 0 : targets[found->second]->badness;
+    return found == byId.end() ? 0 : targets[found->second]->faultSeverity;
 }
 
 } // namespace mulberryplank
--- a/src/policy/targethealthprivate.h
+++ b/src/policy/targethealthprivate.h
@@ -32,29 +32,29 @@
 
 // Without the proxy that suspects the target most, the others' evidence must still come to this much of the threshold:
 // else a single faulty proxy could eject whatever it likes. Less will do where nobody gets answers that contradict.
-constexpr double LeastFromOthers = 0.6;
-constexpr double LeastFromOthersIfNoneContradicts = 0.45;
-constexpr double MostFromOneProxy = 1; // of the threshold
-constexpr double FollowFrom = 0.5; // of the threshold, when most other proxies have ejected
+constexpr double MinShareFromOthers = 0.6;
+constexpr double MinShareFromOthersUncontradicted = 0.45;
+constexpr double MaxFromOneProxy = 1; // of the threshold
+constexpr double FollowThreshold = 0.5; // of the threshold, when most other proxies have ejected
 constexpr double PathMargin = 2; // over the threshold of a lone proxy
-constexpr double LeastSupport = 1.8; // log likelihood ratio, over the noise
+constexpr double MinSupport = 1.8; // log likelihood ratio, over the noise
 constexpr double RelapseThreshold = 0.5; // of the threshold, during the slow start after an ejection
-constexpr double UrgentFrom = 0.15; // of the threshold, by this process's own traffic
-constexpr double AllSlowFrom = 0.3; // of the threshold
+constexpr double UrgentThreshold = 0.15; // of the threshold, by this process's own traffic
+constexpr double AllSlowThreshold = 0.3; // of the threshold
 constexpr double AllSlowShare = 2.0 / 3.0; // of the targets in service
 // While even the least suspicious third of the targets in service shows this much, nothing is ejected.
-constexpr double HoldFrom = 0.15; // of the threshold
+constexpr double HoldThreshold = 0.15; // of the threshold
 constexpr double HoldRank = 1.0 / 3.0;
 constexpr double SuspicionLimit = 3; // times the threshold
-constexpr double TrialHangs = 8; // log likelihood ratio
+constexpr double TrialHangSuspicion = 8; // log likelihood ratio
 
 constexpr Duration QuietInterval = Millis { 1'000 };
 constexpr Duration UrgentInterval = Millis { 100 };
-constexpr Duration NewsInterval = Millis { 50 };
+constexpr Duration PendingClaimInterval = Millis { 50 };
 constexpr Duration EvidenceLifetime = Millis { 3'000 };
-constexpr Duration PathPatience = Millis { 1'000 }; // for the others' reports to arrive
-constexpr Duration ClaimPatience = Millis { 3'000 };
-constexpr Duration AllSlowPause = Millis { 2'000 };
+constexpr Duration PathTimeout = Millis { 1'000 }; // for the others' reports to arrive
+constexpr Duration ClaimTimeout = Millis { 3'000 };
+constexpr Duration AllSlowHold = Millis { 2'000 };
 constexpr Duration FloorEventInterval = Millis { 10'000 };
 
 inline double thresholdOf(Detection detection, std::size_t proxies)
@@ -74,8 +74,8 @@
         TargetEvidence own;
         JointView joint;
         double decisive = 0; // the part of the joint suspicion that counts for ejection
-        double badness = 0; // joint suspicion; kept while the target is ejected
-        bool sick = false;
+        double faultSeverity = 0; // joint suspicion; kept while the target is ejected
+        bool faulty = false;
         bool pathOnly = false;
         Instant pathSince {};
         bool resetPending = false; // the evidence that led to an ejection still counts
@@ -83,7 +83,7 @@
         Instant claimedAt {};
         Instant retryClaimAt {};
         bool waitsForFloor = false;
-        bool reduces = true;
+        bool mayReduceWeight = true;
     };
 
     Private(ServiceHealthSettings initial, std::uint64_t seed)
@@ -114,8 +114,8 @@
     std::size_t floor() const;
     void gatherEvidence(Instant now);
     double decisiveSuspicion(const JointView &view) const;
-    void judgeSickness(Target &target, Instant now);
-    bool mayTry(const Target &target, Instant now) const;
+    void assessTarget(Target &target, Instant now);
+    bool mayStartTrial(const Target &target, Instant now) const;
     bool checkAllSlow(Instant now);
     void limitReducedWeights();
     void updateClaim(Target &target, Instant now);
@@ -124,8 +124,8 @@
     void stepAll(Instant now);
     void step(TargetIndex index, Target &target, Instant now);
     void report(const Target &target, Event event);
-    double badnessOf(TargetId id) const;
-    void floorBinds(const Target &target, Instant now);
+    double faultSeverityOf(TargetId id) const;
+    void recordFloorBinding(const Target &target, Instant now);
 
     ServiceHealthSettings settings;
     Detector detector;
