--- a/src/policy/targethealthtest.cpp
+++ b/src/policy/targethealthtest.cpp
@@ -19,13 +19,13 @@
 constexpr Duration Tick = Millis { 100 };
 
 // Several proxies before the same targets, with steady traffic from each to each, on a clock of their own.
-class Carriers
+class ProxyFleet
 {
 public:
     // What happens to one request; the latency of a healthy one is passed in.
     using Behaviour = std::function<Attempt(std::size_t proxy, Attempt healthy)>;
 
-    Carriers(std::uint32_t seed, std::size_t proxies, std::size_t targets, Detection detection = Detection::Fast)
+    ProxyFleet(std::uint32_t seed, std::size_t proxies, std::size_t targets, Detection detection = Detection::Fast)
         : m_random(seed)
         , m_targets(targets)
     {
@@ -137,7 +137,7 @@
     Instant m_now = Instant {} + Seconds { 1 };
 };
 
-Carriers::Behaviour slowTargets(TargetIndex count, int factor)
+ProxyFleet::Behaviour slowTargets(TargetIndex count, int factor)
 {
     return [count, factor](std::size_t, Attempt attempt) {
         attempt.latency *= attempt.target < count ? factor : 1;
@@ -149,162 +149,162 @@
 
 TEST_GROUP(TargetHealth) {};
 
-TEST(TargetHealth, ejectsASlowTargetAtEveryProxyAndTakesItBackOnceWell)
+TEST(TargetHealth, ejectsASlowTargetAtEveryProxyUntilItRecovers)
 {
-    Carriers carriers(1, 4, 8);
-    carriers.run(Seconds { 20 });
-    LONGS_EQUAL(0, carriers.ejectedSomewhere());
-    carriers.behaviour = slowTargets(1, 10);
-    carriers.run(Seconds { 4 });
+    ProxyFleet fleet(1, 4, 8);
+    fleet.run(Seconds { 20 });
+    LONGS_EQUAL(0, fleet.ejectedSomewhere());
+    fleet.behaviour = slowTargets(1, 10);
+    fleet.run(Seconds { 4 });
     for (std::size_t proxy = 0; proxy < 4; ++proxy) {
-        CHECK_TRUE(carriers.isEjected(proxy, 0));
+        CHECK_TRUE(fleet.isEjected(proxy, 0));
     }
-    LONGS_EQUAL(1, carriers.ejectedSomewhere());
-    carriers.behaviour = slowTargets(0, 1);
-    carriers.run(Seconds { 60 });
+    LONGS_EQUAL(1, fleet.ejectedSomewhere());
+    fleet.behaviour = slowTargets(0, 1);
+    fleet.run(Seconds { 60 });
     for (std::size_t proxy = 0; proxy < 4; ++proxy) {
-        DOUBLES_EQUAL(1, carriers.proxy(proxy).weight(0), 0);
+        DOUBLES_EQUAL(1, fleet.proxy(proxy).weight(0), 0);
     }
 }
 
 // Failure: a proxy drops out of everybody's favour a target that serves well.
-TEST(TargetHealth, aLoneLiarEjectsNothingAtTheOthers)
+TEST(TargetHealth, falseReportsOfOneProxyEjectNothingAtTheOthers)
 {
     CHECK_TRUE(rc::check("liar", [](std::uint32_t seed) {
-        Carriers carriers(seed, 3 + seed % 4, 6);
-        carriers.falsify = [](std::size_t proxy, EvidenceReport &report) {
+        ProxyFleet fleet(seed, 3 + seed % 4, 6);
+        fleet.falsify = [](std::size_t proxy, EvidenceReport &report) {
             if (proxy == 0) {
                 report.evidence = { { targetId(TargetName { "t1" }), 1e30F, 65'535 } };
                 report.claimed = { targetId(TargetName { "t1" }) };
             }
         };
-        carriers.run(Seconds { 60 });
+        fleet.run(Seconds { 60 });
         for (std::size_t proxy = 1; proxy < 3; ++proxy) {
-            RC_ASSERT(!carriers.isEjected(proxy, 1));
+            RC_ASSERT(!fleet.isEjected(proxy, 1));
         }
     }));
 }
 
-TEST(TargetHealth, aFaultOnOneProxysPathMovesOnlyItsTraffic)
+TEST(TargetHealth, pathFaultOfOneProxyAffectsOnlyItsTraffic)
 {
-    Carriers carriers(3, 4, 8);
-    carriers.run(Seconds { 20 });
-    carriers.behaviour = [](std::size_t proxy, Attempt attempt) {
+    ProxyFleet fleet(3, 4, 8);
+    fleet.run(Seconds { 20 });
+    fleet.behaviour = [](std::size_t proxy, Attempt attempt) {
         if (proxy == 2 && attempt.target == 5) {
             attempt.result = AttemptResult::ConnectFailed;
         }
         return attempt;
     };
-    carriers.run(Seconds { 8 });
-    CHECK_TRUE(carriers.isEjected(2, 5));
+    fleet.run(Seconds { 8 });
+    CHECK_TRUE(fleet.isEjected(2, 5));
     for (const std::size_t proxy : { 0, 1, 3 }) {
-        CHECK_FALSE(carriers.isEjected(proxy, 5));
+        CHECK_FALSE(fleet.isEjected(proxy, 5));
     }
-    LONGS_EQUAL(1, carriers.countEvents(Event::PathSuspected));
+    LONGS_EQUAL(1, fleet.countEvents(Event::PathSuspected));
 }
 
 // Failure: in a rush hour a service loses its targets one after the other.
 TEST(TargetHealth, ejectsNothingWhenAllTargetsSlowDownTogether)
 {
     CHECK_TRUE(rc::check("all slow", [](std::uint32_t seed) {
-        Carriers carriers(seed, 3, 8, static_cast<Detection>(seed % 3));
-        carriers.run(Seconds { 20 });
-        carriers.behaviour = slowTargets(8, 5);
-        carriers.run(Seconds { 30 });
-        RC_ASSERT(carriers.ejectedSomewhere() == 0U);
+        ProxyFleet fleet(seed, 3, 8, static_cast<Detection>(seed % 3));
+        fleet.run(Seconds { 20 });
+        fleet.behaviour = slowTargets(8, 5);
+        fleet.run(Seconds { 30 });
+        RC_ASSERT(fleet.ejectedSomewhere() == 0U);
     }));
 }
 
-TEST(TargetHealth, noticesAHangBeforeAnythingTimesOut)
+TEST(TargetHealth, detectsAHangBeforeAnyTimeout)
 {
-    Carriers carriers(5, 3, 6);
-    carriers.run(Seconds { 20 });
-    carriers.behaviour = [](std::size_t, Attempt attempt) {
+    ProxyFleet fleet(5, 3, 6);
+    fleet.run(Seconds { 20 });
+    fleet.behaviour = [](std::size_t, Attempt attempt) {
         attempt.result = attempt.target == 0 ? AttemptResult::Shed : attempt.result;
         return attempt;
     };
     Instant now = Instant {} + Seconds { 21 };
     Duration age {};
-    carriers.afterTick = [&] {
+    fleet.afterTick = [&] {
         now += Tick;
         age += Tick;
         for (std::size_t proxy = 0; proxy < 3; ++proxy) {
-            carriers.proxy(proxy).outstanding(0, age, now, 2);
+            fleet.proxy(proxy).observeOutstanding(0, age, now, 2);
         }
     };
-    carriers.run(Seconds { 3 });
-    CHECK_TRUE(carriers.isEjected(0, 0));
+    fleet.run(Seconds { 3 });
+    CHECK_TRUE(fleet.isEjected(0, 0));
 }
 
 // Failure: callers are refused although targets would serve them, in a fault of many targets at once.
-TEST(TargetHealth, keepsTheFloorWhenMostTargetsAreSick)
+TEST(TargetHealth, keepsTheFloorWhenMostTargetsAreFaulty)
 {
     CHECK_TRUE(rc::check("floor", [](std::uint32_t seed) {
         std::mt19937 random(seed);
         const std::size_t proxies = 2 + seed % 4;
-        Carriers carriers(seed, proxies, 7);
-        carriers.run(Seconds { 10 });
-        carriers.behaviour = slowTargets(static_cast<TargetIndex>(3 + seed % 4), 8);
+        ProxyFleet fleet(seed, proxies, 7);
+        fleet.run(Seconds { 10 });
+        fleet.behaviour = slowTargets(static_cast<TargetIndex>(3 + seed % 4), 8);
         const std::size_t cutFrom = random() % proxies;
         const std::size_t cutTo = random() % proxies;
-        carriers.isCut = [&](std::size_t from, std::size_t to) {
+        fleet.isCut = [&](std::size_t from, std::size_t to) {
             return (from == cutFrom && to == cutTo) || random() % 5 == 0;
         };
-        carriers.afterTick = [&] {
-            RC_ASSERT(carriers.ejectedSomewhere() <= 3U);
+        fleet.afterTick = [&] {
+            RC_ASSERT(fleet.ejectedSomewhere() <= 3U);
             for (std::size_t proxy = 0; proxy < proxies; ++proxy) {
                 for (TargetIndex target = 0; target < 7; ++target) {
-                    const double weight = carriers.proxy(proxy).weight(target);
+                    const double weight = fleet.proxy(proxy).weight(target);
                     RC_ASSERT(weight >= 0 && weight <= 1);
                 }
             }
         };
-        carriers.run(Seconds { 40 });
+        fleet.run(Seconds { 40 });
     }));
 }
 
 // The worst of 400 random faults (bench-health --search 400) that is found at all: 5.4 times slower for 1.4 s in every
 // 2.8 s.
 // Failure: a target hurts requests for minutes though it is found again and again.
-TEST(TargetHealth, aFlappingTargetHurtsEverLess)
+TEST(TargetHealth, aFlappingTargetHarmsFewerRequestsOverTime)
 {
-    int hurtSoon = 0;
-    int hurtLate = 0;
+    int harmedEarly = 0;
+    int harmedLate = 0;
     for (std::uint32_t seed = 1; seed <= 6; ++seed) {
-        Carriers carriers(seed, 4, 8);
-        carriers.run(Seconds { 20 });
+        ProxyFleet fleet(seed, 4, 8);
+        fleet.run(Seconds { 20 });
         int ticks = 0;
-        carriers.afterTick = [&ticks] {
+        fleet.afterTick = [&ticks] {
             ++ticks;
         };
-        int hurt = 0;
-        carriers.behaviour = [&](std::size_t, Attempt attempt) {
+        int harmed = 0;
+        fleet.behaviour = [&](std::size_t, Attempt attempt) {
             if (attempt.target == 0 && ticks % 28 < 14) {
                 attempt.latency = fromSeconds(toSeconds(attempt.latency) * 5.4);
-                ++hurt;
+                ++harmed;
             }
             return attempt;
         };
-        carriers.run(Seconds { 60 });
-        hurtSoon += hurt;
-        carriers.run(Seconds { 60 });
-        hurt = 0;
-        carriers.run(Seconds { 60 });
-        hurtLate += hurt;
+        fleet.run(Seconds { 60 });
+        harmedEarly += harmed;
+        fleet.run(Seconds { 60 });
+        harmed = 0;
+        fleet.run(Seconds { 60 });
+        harmedLate += harmed;
     }
     // 250 and 68 here; 483 and 463 with ejections that don't grow.
-    CHECK_TRUE(hurtSoon < 350);
-    CHECK_TRUE(2 * hurtLate < hurtSoon);
+    CHECK_TRUE(harmedEarly < 350);
+    CHECK_TRUE(2 * harmedLate < harmedEarly);
 }
 
-TEST(TargetHealth, saysSoWhenTheFloorKeepsASickTarget)
+TEST(TargetHealth, reportsWhenTheFloorKeepsAFaultyTarget)
 {
-    Carriers carriers(8, 3, 6);
-    carriers.run(Seconds { 20 });
-    carriers.behaviour = slowTargets(4, 20);
-    carriers.run(Seconds { 20 });
-    LONGS_EQUAL(3, carriers.ejectedSomewhere());
-    CHECK_TRUE(carriers.countEvents(Event::FloorBinds) > 0);
+    ProxyFleet fleet(8, 3, 6);
+    fleet.run(Seconds { 20 });
+    fleet.behaviour = slowTargets(4, 20);
+    fleet.run(Seconds { 20 });
+    LONGS_EQUAL(3, fleet.ejectedSomewhere());
+    CHECK_TRUE(fleet.countEvents(Event::FloorBinds) > 0);
 }
 
 TEST(TargetHealth, ignoresReportsOfAnOldIncarnationAndMalformedOnes)
--- a/src/policy/targetlifecycle.cpp
+++ b/src/policy/targetlifecycle.cpp
@@ -13,21 +13,21 @@
 // A suspected target keeps most of its traffic at first. The number of hurt requests that it takes to be sure is the
 // same at any rate, so that less traffic only makes for a later decision; a suspicion that lingers does lower the
 // weight.
-constexpr double FirstSuspectedWeight = 0.9;
-constexpr double LastSuspectedWeight = 0.3;
+constexpr double InitialSuspectedWeight = 0.9;
+constexpr double FinalSuspectedWeight = 0.3;
 constexpr double SuspectedSeconds = 10;
-constexpr double HeldByFloorWeight = 0.05;
-constexpr double FirstSlowStartWeight = 0.1;
+constexpr double FloorHeldWeight = 0.05;
+constexpr double InitialSlowStartWeight = 0.1;
 
 // A trial passes when this many answers came, none in error, and their latencies speak for health.
 constexpr std::uint32_t TrialAttempts = 8;
 constexpr double TrialPassedLatency = -5;
 constexpr double TrialFailedLatency = 2;
 
-constexpr std::uint32_t MostTimesEjected = 8;
-constexpr Duration LeastTimeToForget = Millis { 60'000 };
-constexpr int TimeToForgetInEjections = 2;
-constexpr double EjectionSpread = 0.1;
+constexpr std::uint32_t MaxTimesEjected = 8;
+constexpr Duration MinEjectionExpiry = Millis { 60'000 };
+constexpr int EjectionExpiryFactor = 2;
+constexpr double EjectionJitter = 0.1;
 
 } // namespace internal
 
@@ -56,54 +56,58 @@
     }
 }
 
-std::optional<Event> TargetLifecycle::judge(const Judgement &judgement, Instant now, std::mt19937_64 &random)
+std::optional<Event> TargetLifecycle::assess(const TargetAssessment &assessment, Instant now, std::mt19937_64 &random)
 {
-    m_waitsForFloor = judgement.sick && !judgement.mayEject;
-    m_reduces = judgement.reduces;
-    forgetEjections(now);
+    m_waitsForFloor = assessment.faulty && !assessment.mayEject;
+    m_mayReduceWeight = assessment.mayReduceWeight;
+    expireEjections(now);
     switch (m_phase) {
     case TargetPhase::Healthy:
     case TargetPhase::Suspected:
-        return inService(judgement, now, random);
+        return inService(assessment, now, random);
     case TargetPhase::SlowStart:
-        return inSlowStart(judgement, now, random);
+        return inSlowStart(assessment, now, random);
     case TargetPhase::Ejected:
     case TargetPhase::Trial:
-        if (!judgement.mayEject) {
+        if (!assessment.mayEject) {
             // The floor needs the target, or the other proxies no longer confirm the ejection. It has shown no health:
             // it comes back suspected, and stays so for as long as a slow start would take.
             m_suspectedUntil = now + m_settings.slowStart;
             enter(TargetPhase::Suspected, now);
             return Event::TargetReturned;
         }
-        return outOfService(judgement, now, random);
+        return outOfService(assessment, now, random);
     case TargetPhase::Draining:
         break;
     }
     return std::nullopt;
 }
 
-std::optional<Event> TargetLifecycle::inService(const Judgement &judgement, Instant now, std::mt19937_64 &random)
+std::optional<Event> TargetLifecycle::inService(const TargetAssessment &assessment,
+                                                Instant now,
+                                                std::mt19937_64 &random)
 {
-    if (judgement.sick && judgement.mayEject) {
+    if (assessment.faulty && assessment.mayEject) {
         return eject(now, random);
     }
     const bool healthy = m_phase == TargetPhase::Healthy;
-    if (healthy && (judgement.sick || judgement.suspicion >= internal::SuspectedFrom)) {
+    if (healthy && (assessment.faulty || assessment.suspicion >= internal::SuspectedFrom)) {
         enter(TargetPhase::Suspected, now);
         return Event::TargetSuspected;
     }
-    const bool clear = !judgement.sick && judgement.suspicion < internal::HealthyBelow;
+    const bool clear = !assessment.faulty && assessment.suspicion < internal::HealthyBelow;
     if (!healthy && clear && now >= m_suspectedUntil) {
         enter(TargetPhase::Healthy, now);
     }
     return std::nullopt;
 }
 
-std::optional<Event> TargetLifecycle::outOfService(const Judgement &judgement, Instant now, std::mt19937_64 &random)
+std::optional<Event> TargetLifecycle::outOfService(const TargetAssessment &assessment,
+                                                   Instant now,
+                                                   std::mt19937_64 &random)
 {
     if (m_phase == TargetPhase::Ejected) {
-        const bool over = judgement.mayTry || now - m_since >= m_settings.longestEjection;
+        const bool over = assessment.mayStartTrial || now - m_since >= m_settings.maxEjection;
         if (now - m_since < m_ejectionLength || !over) {
             return std::nullopt;
         }
@@ -125,9 +129,11 @@
     return std::nullopt;
 }
 
-std::optional<Event> TargetLifecycle::inSlowStart(const Judgement &judgement, Instant now, std::mt19937_64 &random)
+std::optional<Event> TargetLifecycle::inSlowStart(const TargetAssessment &assessment,
+                                                  Instant now,
+                                                  std::mt19937_64 &random)
 {
-    if (judgement.sick && judgement.mayEject) {
+    if (assessment.faulty && assessment.mayEject) {
         return eject(now, random);
     }
     if (m_cold) {
@@ -145,14 +151,14 @@
 {
     // A target that flaps would be let back in, hurt requests and be found again, over and over at the same rate.
     // Each ejection that isn't forgotten yet doubles the next, so that the harm dies down.
-    m_timesEjected = std::min(m_timesEjected + 1, internal::MostTimesEjected);
+    m_timesEjected = std::min(m_timesEjected + 1, internal::MaxTimesEjected);
     const Duration doubled = m_settings.firstEjection * (1U << (m_timesEjected - 1));
-    const Duration length = std::min(doubled, m_settings.longestEjection);
-    std::uniform_real_distribution<double> spread(1 - internal::EjectionSpread, 1 + internal::EjectionSpread);
+    const Duration length = std::min(doubled, m_settings.maxEjection);
+    std::uniform_real_distribution<double> spread(1 - internal::EjectionJitter, 1 + internal::EjectionJitter);
     m_ejectionLength = fromSeconds(toSeconds(length) * spread(random));
-    m_forgetAt =
+    m_ejectionExpiresAt =
         now + m_ejectionLength
-        + std::max<Duration>(internal::LeastTimeToForget, internal::TimeToForgetInEjections * m_ejectionLength);
+        + std::max<Duration>(internal::MinEjectionExpiry, internal::EjectionExpiryFactor * m_ejectionLength);
     m_returning = false;
     enter(TargetPhase::Ejected, now);
     return Event::TargetEjected;
@@ -181,14 +187,14 @@
     case TargetPhase::Healthy:
         return 1;
     case TargetPhase::Suspected:
-        if (!m_reduces) {
+        if (!m_mayReduceWeight) {
             return 1;
         }
-        return m_waitsForFloor ? internal::HeldByFloorWeight : suspectedWeight(now);
+        return m_waitsForFloor ? internal::FloorHeldWeight : suspectedWeight(now);
     case TargetPhase::SlowStart: {
         const double progress = toSeconds(now - m_since) / toSeconds(m_settings.slowStart);
-        const double grown = internal::FirstSlowStartWeight + (1 - internal::FirstSlowStartWeight) * progress;
-        return std::clamp(grown, internal::FirstSlowStartWeight, 1.0);
+        const double grown = internal::InitialSlowStartWeight + (1 - internal::InitialSlowStartWeight) * progress;
+        return std::clamp(grown, internal::InitialSlowStartWeight, 1.0);
     }
     case TargetPhase::Ejected:
     case TargetPhase::Trial:
@@ -201,11 +207,11 @@
 double TargetLifecycle::suspectedWeight(Instant now) const
 {
     if (now < m_suspectedUntil) {
-        return internal::LastSuspectedWeight;
+        return internal::FinalSuspectedWeight;
     }
     const double progress = std::min(1.0, toSeconds(now - m_since) / internal::SuspectedSeconds);
-    const double range = internal::FirstSuspectedWeight - internal::LastSuspectedWeight;
-    return internal::FirstSuspectedWeight - range * progress;
+    const double range = internal::InitialSuspectedWeight - internal::FinalSuspectedWeight;
+    return internal::InitialSuspectedWeight - range * progress;
 }
 
 bool TargetLifecycle::needsClaim() const
@@ -234,12 +240,12 @@
     m_since = now;
 }
 
-void TargetLifecycle::forgetEjections(Instant now)
+void TargetLifecycle::expireEjections(Instant now)
 {
-    if (m_timesEjected > 0 && m_phase == TargetPhase::Healthy && now >= m_forgetAt) {
+    if (m_timesEjected > 0 && m_phase == TargetPhase::Healthy && now >= m_ejectionExpiresAt) {
         --m_timesEjected;
-        m_forgetAt =
-            now + std::max<Duration>(internal::LeastTimeToForget, internal::TimeToForgetInEjections * m_ejectionLength);
+        m_ejectionExpiresAt =
+            now + std::max<Duration>(internal::MinEjectionExpiry, internal::EjectionExpiryFactor * m_ejectionLength);
     }
 }
 
--- a/src/policy/targetusetest.cpp
+++ b/src/policy/targetusetest.cpp
@@ -1,4 +1,4 @@
-// Several balancers of one service in front of the same targets, on virtual time, with news between them that may be
+// Several balancers of one service in front of the same targets, on virtual time, with update between them that may be
 // lost or late.
 #include <algorithm>
 #include <deque>
@@ -22,10 +22,10 @@
     std::size_t gateways = 3;
     std::size_t targets = 10;
     double perSecond = 40; // requests, over the fleet
-    double sickShare = 0.3; // of the targets at a time, of which three quarters of the requests hang
-    double lostNews = 0; // share of the messages
-    Duration newsDelay = Millis(1);
-    RouteKind kind = RouteKind::Once;
+    double faultyShare = 0.3; // of the targets at a time, of which three quarters of the requests hang
+    double lostUpdates = 0; // share of the messages
+    Duration updateDelay = Millis(1);
+    RouteKind kind = RouteKind::NonIdempotent;
     std::uint64_t seed = 1;
 };
 
@@ -35,7 +35,7 @@
     explicit BalancedFleet(const FleetPlan &plan)
         : m_plan(plan)
         , m_random(plan.seed)
-        , m_spells(plan.targets)
+        , m_faultPeriods(plan.targets)
         , m_used(plan.targets)
     {
         m_route.name = "route";
@@ -52,20 +52,20 @@
             m_balancers.back().configure(listed);
         }
         for (std::size_t index = 0; index < plan.targets; ++index) {
-            const bool isSick = std::bernoulli_distribution(plan.sickShare)(m_random);
-            const Instant begin = isSick ? Start : Start + spell(wellSeconds());
-            m_spells[index].push_back({ begin, begin + spell(SpellSeconds) });
+            const bool isFaulty = std::bernoulli_distribution(plan.faultyShare)(m_random);
+            const Instant begin = isFaulty ? Start : Start + period(healthySeconds());
+            m_faultPeriods[index].push_back({ begin, begin + period(FaultSeconds) });
         }
     }
 
-    void play(Duration span)
+    void simulate(Duration span)
     {
         const Instant end = Start + span;
         Instant nextTick = Start + Tick;
         while (m_now < end) {
             m_now += fromSeconds(std::exponential_distribution<double>(m_plan.perSecond)(m_random));
             while (nextTick <= m_now) {
-                shareUse();
+                sendUpdates();
                 nextTick += Tick;
             }
             endAttempts();
@@ -74,39 +74,40 @@
         }
     }
 
-    // Returns the least part of the sound targets that got a request within two seconds. A target that failed by itself
-    // is sound again after two seconds.
-    double leastUsed(Instant from) const
+    // Returns the minShare part of the healthy targets that got a request within two seconds. A target that failed by
+    // itself is healthy again after two seconds.
+    double minUsedShare(Instant from) const
     {
-        double least = 1;
+        double minShare = 1;
         for (Instant begin = from; begin + Window <= m_now; begin += Millis(100)) {
-            std::size_t sound = 0;
+            std::size_t healthy = 0;
             std::size_t used = 0;
             for (std::size_t index = 0; index < m_plan.targets; ++index) {
-                if (wasSick(index, begin - Window, begin + Window)) {
+                if (wasFaulty(index, begin - Window, begin + Window)) {
                     continue;
                 }
-                ++sound;
+                ++healthy;
                 used += wasUsed(index, begin, begin + Window) ? 1 : 0;
             }
-            least = std::min(least, static_cast<double>(used) / static_cast<double>(std::max<std::size_t>(sound, 1)));
+            minShare =
+                std::min(minShare, static_cast<double>(used) / static_cast<double>(std::max<std::size_t>(healthy, 1)));
         }
-        return least;
+        return minShare;
     }
 
-    // Returns the likelihood that a sound target gets nothing for two seconds.
+    // Returns the likelihood that a healthy target gets nothing for two seconds.
     double unusedShare(Instant from) const
     {
-        double sound = 0;
+        double healthy = 0;
         double unused = 0;
         for (Instant begin = from; begin + Window <= m_now; begin += Millis(100)) {
             for (std::size_t index = 0; index < m_plan.targets; ++index) {
-                const bool isSound = !wasSick(index, begin - Window, begin + Window);
-                sound += isSound ? 1 : 0;
-                unused += isSound && !wasUsed(index, begin, begin + Window) ? 1 : 0;
+                const bool isHealthy = !wasFaulty(index, begin - Window, begin + Window);
+                healthy += isHealthy ? 1 : 0;
+                unused += isHealthy && !wasUsed(index, begin, begin + Window) ? 1 : 0;
             }
         }
-        return unused / std::max(sound, 1.0);
+        return unused / std::max(healthy, 1.0);
     }
 
     double hungShare() const
@@ -115,20 +116,21 @@
     }
 
 private:
-    static constexpr double SpellSeconds = 5; // that a target is sick at a time
+    static constexpr double FaultSeconds = 5; // that a target is sick at a time
     static constexpr Duration Window = Seconds(2);
 
-    // A spell of sickness.
-    struct Spell {
+    // A period of sickness.
+    struct FaultPeriod {
         Instant begin;
         Instant end;
     };
 
-    bool wasSick(std::size_t index, Instant from, Instant to) const
+    bool wasFaulty(std::size_t index, Instant from, Instant to) const
     {
-        return std::any_of(m_spells[index].begin(), m_spells[index].end(), [from, to](const Spell &spell) {
-            return spell.begin < to && spell.end > from;
-        });
+        return std::any_of(
+            m_faultPeriods[index].begin(), m_faultPeriods[index].end(), [from, to](const FaultPeriod &period) {
+                return period.begin < to && period.end > from;
+            });
     }
 
     bool wasUsed(std::size_t index, Instant from, Instant to) const
@@ -144,7 +146,7 @@
         std::size_t gateway = 0;
         TargetName target;
         AttemptResult result = AttemptResult::Success;
-        std::optional<Instant> silenceAt;
+        std::optional<Instant> noResponseReportAt;
     };
     struct Message {
         Instant at;
@@ -155,21 +157,21 @@
         Instant usedAt {};
     };
 
-    bool isSick(std::size_t index)
+    bool isFaulty(std::size_t index)
     {
-        while (m_spells[index].back().end <= m_now) {
-            const Instant begin = m_spells[index].back().end + spell(wellSeconds());
-            m_spells[index].push_back({ begin, begin + spell(SpellSeconds) });
+        while (m_faultPeriods[index].back().end <= m_now) {
+            const Instant begin = m_faultPeriods[index].back().end + period(healthySeconds());
+            m_faultPeriods[index].push_back({ begin, begin + period(FaultSeconds) });
         }
-        return wasSick(index, m_now, m_now);
+        return wasFaulty(index, m_now, m_now);
     }
 
-    double wellSeconds() const
+    double healthySeconds() const
     {
-        return SpellSeconds * (1 - m_plan.sickShare) / std::max(m_plan.sickShare, 1e-6);
+        return FaultSeconds * (1 - m_plan.faultyShare) / std::max(m_plan.faultyShare, 1e-6);
     }
 
-    Duration spell(double meanSeconds)
+    Duration period(double meanSeconds)
     {
         return fromSeconds(std::exponential_distribution<double>(1 / meanSeconds)(m_random));
     }
@@ -179,7 +181,7 @@
         const std::size_t gateway = std::uniform_int_distribution<std::size_t>(0, m_plan.gateways - 1)(m_random);
         const std::optional<ChosenTarget> chosen = m_balancers[gateway].choose({ &m_route, {}, {} }, m_now);
         const std::size_t index = std::stoul(chosen->id.value().substr(1));
-        const bool hangs = isSick(index) && std::bernoulli_distribution(0.75)(m_random);
+        const bool hangs = isFaulty(index) && std::bernoulli_distribution(0.75)(m_random);
         m_balancers[gateway].begin(chosen->id, m_route, m_now);
         m_used[index].push_back(m_now);
         m_sent += 1;
@@ -189,11 +191,11 @@
         running.gateway = gateway;
         running.target = chosen->id;
         running.result = hangs ? AttemptResult::Timeout : AttemptResult::Success;
-        running.endsAt = m_now + (hangs ? Seconds(3) : spell(0.3));
-        running.silenceAt = m_balancers[gateway].nextSilence(chosen->id, m_now);
+        running.endsAt = m_now + (hangs ? Seconds(3) : period(0.3));
+        running.noResponseReportAt = m_balancers[gateway].nextNoResponseReport(chosen->id, m_now);
         m_running.push_back(running);
         if (chosen->wasUnused) {
-            tell(gateway, chosen->id, AttemptResult::Cancelled, 0, m_now);
+            send(gateway, chosen->id, AttemptResult::Cancelled, 0, m_now);
         }
     }
 
@@ -201,18 +203,19 @@
     {
         for (Running &running : m_running) {
             TargetBalancer &balancer = m_balancers[running.gateway];
-            if (running.endsAt > m_now && running.silenceAt && *running.silenceAt <= m_now) {
-                const std::optional<double> news = balancer.takeSilence(running.target, running.started, m_now);
-                tell(running.gateway, running.target, AttemptResult::Timeout, news.value_or(0), running.started);
-                running.silenceAt = balancer.nextSilence(running.target, running.started);
+            if (running.endsAt > m_now && running.noResponseReportAt && *running.noResponseReportAt <= m_now) {
+                const std::optional<double> update =
+                    balancer.takeNoResponseEvidence(running.target, running.started, m_now);
+                send(running.gateway, running.target, AttemptResult::Timeout, update.value_or(0), running.started);
+                running.noResponseReportAt = balancer.nextNoResponseReport(running.target, running.started);
             }
             if (running.endsAt <= m_now) {
-                AttemptEnd end;
+                AttemptOutcome end;
                 end.result = running.result;
                 end.latency = running.endsAt - running.started;
-                const std::optional<double> news = balancer.end(running.target, m_route, running.started, end, m_now);
-                if (news) {
-                    tell(running.gateway, running.target, running.result, *news, running.started);
+                const std::optional<double> update = balancer.end(running.target, m_route, running.started, end, m_now);
+                if (update) {
+                    send(running.gateway, running.target, running.result, *update, running.started);
                 }
             }
         }
@@ -221,21 +224,21 @@
         });
     }
 
-    void shareUse()
+    void sendUpdates()
     {
         for (std::size_t gateway = 0; gateway < m_plan.gateways; ++gateway) {
-            for (const TargetBalancer::News &news : m_balancers[gateway].takeNews()) {
-                const AttemptResult result = news.answered ? AttemptResult::Success : AttemptResult::Cancelled;
-                tell(gateway, news.id, result, SicknessModel::evidenceOf(result).logRatio(), news.usedAt);
+            for (const TargetBalancer::Update &update : m_balancers[gateway].takeUpdates()) {
+                const AttemptResult result = update.responded ? AttemptResult::Success : AttemptResult::Cancelled;
+                send(gateway, update.id, result, FaultModel::evidenceOf(result).logRatio(), update.usedAt);
             }
         }
     }
 
-    void tell(std::size_t from, const TargetName &target, AttemptResult result, double logRatio, Instant usedAt)
+    void send(std::size_t from, const TargetName &target, AttemptResult result, double logRatio, Instant usedAt)
     {
         for (std::size_t to = 0; to < m_plan.gateways; ++to) {
-            if (to != from && !std::bernoulli_distribution(m_plan.lostNews)(m_random)) {
-                m_messages.push_back({ m_now + m_plan.newsDelay, to, target, result, logRatio, usedAt });
+            if (to != from && !std::bernoulli_distribution(m_plan.lostUpdates)(m_random)) {
+                m_messages.push_back({ m_now + m_plan.updateDelay, to, target, result, logRatio, usedAt });
             }
         }
     }
@@ -244,7 +247,8 @@
     {
         while (!m_messages.empty() && m_messages.front().at <= m_now) {
             const Message &message = m_messages.front();
-            m_balancers[message.to].noteRemote(message.target, message.result, message.logRatio, message.usedAt, m_now);
+            m_balancers[message.to].addRemoteEvidence(
+                message.target, message.result, message.logRatio, message.usedAt, m_now);
             m_messages.pop_front();
         }
     }
@@ -253,7 +257,7 @@
     std::mt19937_64 m_random;
     HostRoute m_route;
     std::vector<TargetBalancer> m_balancers;
-    std::vector<std::vector<Spell>> m_spells; // of each target, in order
+    std::vector<std::vector<FaultPeriod>> m_faultPeriods; // of each target, in order
     std::vector<std::vector<Instant>> m_used;
     std::vector<Running> m_running;
     std::deque<Message> m_messages;
@@ -269,43 +273,44 @@
 
 TEST_GROUP(TargetUse) {};
 
-// Failure: a third of a service's sound targets gets nothing for two seconds, and then a tenth of the requests fails.
-TEST(TargetUse, MostTargetsAreInUseInEachTwoSecondsWhateverFails)
+// Failure: a third of a service's healthy targets gets nothing for two seconds, and then a tenth of the requests fails.
+TEST(TargetUse, MostHealthyTargetsAreUsedInEachTwoSeconds)
 {
     CHECK_TRUE(rc::check("use of targets", [] {
         FleetPlan plan;
         plan.gateways = *rc::gen::inRange<std::size_t>(2, 31);
         plan.targets = *rc::gen::inRange<std::size_t>(10, 121);
         plan.perSecond = static_cast<double>(plan.targets) * *rc::gen::inRange(4, 7);
-        plan.sickShare = *rc::gen::inRange(0, 40) / 100.0;
-        plan.lostNews = *rc::gen::inRange(0, 10) / 100.0;
-        plan.newsDelay = Millis(*rc::gen::inRange(1, 40));
+        plan.faultyShare = *rc::gen::inRange(0, 40) / 100.0;
+        plan.lostUpdates = *rc::gen::inRange(0, 10) / 100.0;
+        plan.updateDelay = Millis(*rc::gen::inRange(1, 40));
         plan.seed = *rc::gen::arbitrary<std::uint64_t>();
         BalancedFleet fleet(plan);
-        fleet.play(Seconds(8));
-        RC_ASSERT(fleet.leastUsed(Start + Settling) >= FloorShare);
+        fleet.simulate(Seconds(8));
+        RC_ASSERT(fleet.minUsedShare(Start + Settling) >= FloorShare);
     }));
 }
 
-// Guards against sound targets left unused because they failed some seconds ago.
-TEST(TargetUse, SoundTargetsThatWereSickAreSoonInUseAgain)
+// Guards against healthy targets left unused because they failed some seconds ago.
+TEST(TargetUse, RecoveredTargetsAreSoonUsedAgain)
 {
-    constexpr double MostUnused = 0.05; // of ten sound targets more than three are then unused once in a thousand times
+    constexpr double MaxUnused =
+        0.05; // of ten healthy targets more than three are then unused once in a thousand times
     constexpr int Seeds = 5;
     for (const std::size_t targets : { 11, 60 }) {
-        for (const double sickShare : { 0.08, 0.3 }) {
+        for (const double faultyShare : { 0.08, 0.3 }) {
             double unused = 0;
             for (int seed = 1; seed <= Seeds; ++seed) {
                 FleetPlan plan;
                 plan.targets = targets;
                 plan.perSecond = static_cast<double>(targets) * 4;
-                plan.sickShare = sickShare;
+                plan.faultyShare = faultyShare;
                 plan.seed = static_cast<std::uint64_t>(seed);
                 BalancedFleet fleet(plan);
-                fleet.play(Seconds(20));
+                fleet.simulate(Seconds(20));
                 unused += fleet.unusedShare(Start + Settling) / Seeds;
             }
-            CHECK(unused <= MostUnused);
+            CHECK(unused <= MaxUnused);
         }
     }
 }
@@ -320,7 +325,7 @@
         FleetPlan plan;
         plan.seed = static_cast<std::uint64_t>(seed);
         BalancedFleet fleet(plan);
-        fleet.play(Seconds(30));
+        fleet.simulate(Seconds(30));
         hung += fleet.hungShare() / Seeds;
     }
     CHECK(hung < 0.05);
--- a/src/policy/windowbudget.cpp
+++ b/src/policy/windowbudget.cpp
@@ -10,9 +10,9 @@
 {
 }
 
-void WindowBudget::setSlack(double slack)
+void WindowBudget::setFixedAllowance(double fixedAllowance)
 {
-    m_settings.slack = slack;
+    m_settings.fixedAllowance = fixedAllowance;
 }
 
 WindowBudget::Bucket &WindowBudget::bucket(std::int64_t number)
@@ -53,7 +53,7 @@
     }
     // The oldest bucket lies partly outside of the window; the requests are taken a little low for it.
     const double within = static_cast<double>(Buckets) / static_cast<double>(Buckets + 1);
-    return m_settings.ratio * requests * within + m_settings.slack - spent;
+    return m_settings.ratio * requests * within + m_settings.fixedAllowance - spent;
 }
 
 double WindowBudget::left(Instant now)
--- a/src/policy/windowbudgettest.cpp
+++ b/src/policy/windowbudgettest.cpp
@@ -38,8 +38,8 @@
 TEST(WindowBudget, noWindowHoldsMoreThanRatioAndSlackAllow)
 {
     CHECK_TRUE(rc::check("sliding windows", [] {
-        const double slack = *rc::gen::inRange(0, 5);
-        WindowBudget budget({ 0.25, Seconds(10), slack });
+        const double fixedAllowance = *rc::gen::inRange(0, 5);
+        WindowBudget budget({ 0.25, Seconds(10), fixedAllowance });
         std::vector<Instant> requests;
         std::vector<Instant> spent;
         Instant now = Start;
@@ -63,7 +63,7 @@
             };
             const auto extra = std::count_if(spent.begin(), spent.end(), within);
             const auto earned = std::count_if(requests.begin(), requests.end(), earlier);
-            RC_ASSERT(static_cast<double>(extra) <= 0.25 * static_cast<double>(earned) + slack);
+            RC_ASSERT(static_cast<double>(extra) <= 0.25 * static_cast<double>(earned) + fixedAllowance);
         }
     }));
 }
@@ -93,8 +93,8 @@
 class LendingFleet
 {
 public:
-    explicit LendingFleet(std::size_t size, double slack)
-        : m_budgets(size, WindowBudget({ Ratio, Seconds(10), slack }))
+    explicit LendingFleet(std::size_t size, double fixedAllowance)
+        : m_budgets(size, WindowBudget({ Ratio, Seconds(10), fixedAllowance }))
         , m_loans(size)
     {
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    // `process` asks `lender`; the answer takes `delay` and arrives `copies` times.
+    // `process` asks `lender`; the response takes `delay` and arrives `copies` times.
     void ask(std::size_t process, std::size_t lender, Duration delay, int copies)
     {
         const std::optional<std::uint64_t> number = m_loans[process].ask(now);
@@ -120,27 +120,27 @@
             return;
         }
         for (int copy = 0; copy < copies; ++copy) {
-            m_answers.push_back({ now + delay, process, *number });
+            m_responses.push_back({ now + delay, process, *number });
         }
     }
 
     void deliver()
     {
-        for (const Answer &answer : m_answers) {
-            if (answer.at > now) {
+        for (const LoanResponse &response : m_responses) {
+            if (response.at > now) {
                 continue;
             }
-            const std::optional<Instant> until = m_loans[answer.to].accept(answer.number, now);
+            const std::optional<Instant> until = m_loans[response.to].accept(response.number, now);
             if (until) {
-                m_budgets[answer.to].borrow(*until);
+                m_budgets[response.to].borrow(*until);
             }
         }
-        std::erase_if(m_answers, [this](const Answer &answer) {
-            return answer.at <= now;
+        std::erase_if(m_responses, [this](const LoanResponse &response) {
+            return response.at <= now;
         });
     }
 
-    // A process has ended; the one that follows takes part with nothing of its own (SlackShare).
+    // A process has ended; the one that follows takes part with nothing of its own (RetryAllowanceShare).
     void restart(std::size_t process)
     {
         m_budgets[process] = WindowBudget({ Ratio, Seconds(10), 0 });
@@ -154,7 +154,7 @@
     std::vector<Instant> spent;
 
 private:
-    struct Answer {
+    struct LoanResponse {
         Instant at;
         std::size_t to = 0;
         std::uint64_t number = 0;
@@ -162,7 +162,7 @@
 
     std::vector<WindowBudget> m_budgets;
     std::vector<BudgetLoan> m_loans;
-    std::vector<Answer> m_answers;
+    std::vector<LoanResponse> m_responses;
 };
 
 } // namespace
@@ -172,8 +172,8 @@
 {
     CHECK_TRUE(rc::check("loans", [] {
         constexpr std::size_t Processes = 4;
-        constexpr double Slack = 3;
-        LendingFleet fleet(Processes, Slack);
+        constexpr double FixedAllowance = 3;
+        LendingFleet fleet(Processes, FixedAllowance);
         const auto any = [] {
             return *rc::gen::inRange<std::size_t>(0, Processes);
         };
@@ -210,7 +210,7 @@
             const auto earned = std::count_if(fleet.requests.begin(), fleet.requests.end(), [begin](Instant at) {
                 return at >= begin - Seconds(13) && at < begin + Seconds(10);
             });
-            const double allowed = LendingFleet::Ratio * static_cast<double>(earned) + Slack * Processes;
+            const double allowed = LendingFleet::Ratio * static_cast<double>(earned) + FixedAllowance * Processes;
             RC_ASSERT(static_cast<double>(extra) <= allowed);
         }
     }));
--- a/src/state/configstatecommands.cpp
+++ b/src/state/configstatecommands.cpp
@@ -9,7 +9,7 @@
 {
 
 // Returns what keeps the news from following on what was applied; nothing when they follow.
-std::optional<Error> obstacleTo(const ConfigNews &news, const ConfigState::Position &position)
+std::optional<Error> obstacleTo(const ConfigUpdate &news, const ConfigState::Position &position)
 {
     const Offset end = news.from + news.records.size();
     if (news.from > position.applied) {
@@ -36,7 +36,7 @@
 {
 }
 
-Result<std::vector<EditOutcome>> ConfigState::learn(const ConfigNews &news)
+Result<std::vector<EditOutcome>> ConfigState::learn(const ConfigUpdate &news)
 {
     const std::unique_lock lock(m_tableMutex);
     const Position position { m_table.nextOffset(), m_table.lastRecordDigest() };
@@ -106,7 +106,7 @@
                        "a snapshot at " + std::to_string(table.nextOffset()) + " isn't newer than "
                            + std::to_string(m_table.nextOffset()));
     }
-    if (!table.mayFollow(m_table)) {
+    if (!table.mayShareLogWith(m_table)) {
         return failure(ErrorKind::Conflict, "the snapshot lacks the last edit applied here: it comes from another log");
     }
     m_table = std::move(table);
--- a/src/state/configstatequeries.cpp
+++ b/src/state/configstatequeries.cpp
@@ -74,7 +74,7 @@
     return m_table.outcomeOf(id);
 }
 
-std::optional<ConfigNews> ConfigState::newsSince(Offset from) const
+std::optional<ConfigUpdate> ConfigState::newsSince(Offset from) const
 {
     const std::shared_lock lock(m_tableMutex);
     return m_tail.since(from);
--- a/src/state/configstatetest.cpp
+++ b/src/state/configstatetest.cpp
@@ -44,8 +44,9 @@
 void readLog(ConfigState &state, const FakeLog &log, std::size_t most)
 {
     const auto position = state.position();
-    const auto judgement = judgeLog(position.applied, position.last, log.page(verifyingOffset(position.applied), most));
-    RC_ASSERT(judgement.finding != LogFinding::WentBack);
+    const auto judgement =
+        checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), most));
+    RC_ASSERT(judgement.finding != LogFinding::RolledBack);
     RC_ASSERT(judgement.finding != LogFinding::Malformed);
     if (judgement.finding == LogFinding::Expired) {
         if (auto table = log.newestSnapshot()) {
@@ -53,11 +54,11 @@
         }
         return;
     }
-    ConfigNews news { position.applied, position.last, {} };
-    for (const LogRecord &record : judgement.news) {
-        news.records.push_back(record.data);
+    ConfigUpdate update { position.applied, position.last, {} };
+    for (const LogRecord &record : judgement.update) {
+        update.records.push_back(record.data);
     }
-    RC_ASSERT(state.learn(news).has_value());
+    RC_ASSERT(state.learn(update).has_value());
 }
 
 std::string digestOf(const ConfigState &state)
@@ -105,7 +106,7 @@
 {
     ConfigState m_state;
 
-    static ConfigNews newsOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
+    static ConfigUpdate newsOf(Offset from, const RecordDigest &before, std::vector<std::string> records)
     {
         return { from, before, std::move(records) };
     }
@@ -116,7 +117,7 @@
     CHECK_TRUE(rc::check("proxies that read, hear, restart and publish in any order agree, and never go back", [] {
         constexpr std::size_t Proxies = 4;
         constexpr std::size_t TailBytes = 2'000;
-        const auto edits = drawLog();
+        const auto edits = generateLog();
         const auto number = rc::gen::resize(rc::kNominalSize, rc::gen::inRange<std::uint32_t>(0, 1U << 30U));
         const auto steps = *rc::gen::resize(120, rc::gen::container<std::vector<std::uint32_t>>(number));
         FakeLog log;
@@ -125,11 +126,11 @@
             proxies.push_back(std::make_unique<ConfigState>(TailBytes));
         }
         for (const std::uint32_t step : steps) {
-            Draw draw(step);
-            const std::size_t self = draw.upTo(Proxies);
-            const std::size_t other = draw.upTo(Proxies);
+            NumberSource draw(step);
+            const std::size_t self = draw.below(Proxies);
+            const std::size_t other = draw.below(Proxies);
             const Offset before = proxies[self]->applied();
-            switch (draw.upTo(8)) {
+            switch (draw.below(8)) {
             case 0: // a restart forgets everything
                 proxies[self] = std::make_unique<ConfigState>(TailBytes);
                 break;
@@ -138,12 +139,12 @@
                 break;
             case 2: // records expire up to the newest snapshot
                 if (const auto table = log.newestSnapshot()) {
-                    log.first = std::max(log.first, draw.upTo(table->nextOffset() + 1));
+                    log.first = std::max(log.first, draw.below(table->nextOffset() + 1));
                 }
                 break;
             case 3: // a peer's records, of any age
-                if (const auto news = proxies[other]->newsSince(draw.upTo(log.records.size() + 1))) {
-                    (void)proxies[self]->learn(*news);
+                if (const auto update = proxies[other]->newsSince(draw.below(log.records.size() + 1))) {
+                    (void)proxies[self]->learn(*update);
                 }
                 break;
             case 4: // a peer's snapshot, of any age
@@ -154,7 +155,7 @@
                 });
                 break;
             case 5:
-                readLog(*proxies[self], log, 1 + draw.upTo(8));
+                readLog(*proxies[self], log, 1 + draw.below(8));
                 break;
             default:
                 for (std::size_t count = 0; count < 3 && log.records.size() < edits.size(); ++count) {
@@ -187,9 +188,9 @@
     log.records[1] = record("x", { { account("x"), false } });
     log.records.push_back(record("y", { { account("y"), false } }));
     const auto position = m_state.position();
-    const auto replaced = judgeLog(position.applied, position.last, log.page(verifyingOffset(position.applied), 9));
-    CHECK_TRUE(replaced.finding == LogFinding::WentBack);
-    CHECK_TRUE(judgeLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::WentBack);
+    const auto replaced = checkLog(position.applied, position.last, log.page(verificationOffset(position.applied), 9));
+    CHECK_TRUE(replaced.finding == LogFinding::RolledBack);
+    CHECK_TRUE(checkLog(position.applied, position.last, { 0, 1, {} }).finding == LogFinding::RolledBack);
 }
 
 // Some peers follow the log made anew, others the old one; the offsets meet.
@@ -215,9 +216,9 @@
 // A page answers with the records after a hole, for instance when the log's store lost some in the middle.
 TEST(ConfigState, pageWithAHoleIsNotApplied)
 {
-    const auto judgement = judgeLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
+    const auto judgement = checkLog(0, {}, { 0, 3, { { 0, "a" }, { 2, "c" } } });
     CHECK_TRUE(judgement.finding == LogFinding::Malformed);
-    CHECK_TRUE(judgeLog(0, {}, { 0, 3, { { 1, "b" }, { 2, "c" } } }).finding == LogFinding::Malformed);
+    CHECK_TRUE(checkLog(0, {}, { 0, 3, { { 1, "b" }, { 2, "c" } } }).finding == LogFinding::Malformed);
 }
 
 TEST(ConfigState, viewOutlivesTheEditThatReplacesIt)
--- a/src/state/servicestatecommands.cpp
+++ b/src/state/servicestatecommands.cpp
@@ -120,7 +120,7 @@
     if (slotsAreTaken && static_cast<double>(m_queue.running()) >= part) {
         return false;
     }
-    return std::any_of(m_views.begin(), m_views.end(), &takesWork);
+    return std::any_of(m_views.begin(), m_views.end(), &acceptsRequests);
 }
 
 Admitted ServiceState::grantFor(RequestId request, const Pending &pending, Instant now)
@@ -227,7 +227,7 @@
         entry.limit.shed(Seconds(finished.retryAfterSeconds), now);
         m_lastShed = now;
     } else if (finished.result == AttemptResult::Success) {
-        entry.limit.answered(view.inFlight, finished.latency, view.expectedLatency);
+        entry.limit.onResponse(view.inFlight, finished.latency, view.expectedLatency);
     }
     if (internal::countsAsFailure(finished.result)) {
         ++entry.failures;
@@ -316,7 +316,7 @@
         const Duration oldest = now - *entry.waitingSince.begin();
         const auto young = entry.waitingSince.upper_bound(now - oldest / 2);
         const auto waiting = static_cast<std::uint32_t>(std::distance(entry.waitingSince.begin(), young));
-        m_health.outstanding(entry.index, oldest, now, waiting);
+        m_health.observeOutstanding(entry.index, oldest, now, waiting);
     }
 }
 
@@ -366,7 +366,7 @@
 void ServiceState::noteLatency(std::uint16_t route, Duration latency)
 {
     const std::lock_guard lock(m_mutex);
-    m_hedgeDelays[route].onLatency(latency);
+    m_hedgeDelays[route].recordLatency(latency);
 }
 
 } // namespace mulberryplank
--- a/src/state/servicestateconfigure.cpp
+++ b/src/state/servicestateconfigure.cpp
@@ -72,9 +72,9 @@
 // All carriers use the same slots of a target. If each filled them alone, targets would shed most of what is sent.
 void ServiceState::setMostInFlight()
 {
-    const std::uint32_t most = mostInFlight(m_slotsPerTarget, m_carriers.size());
+    const std::uint32_t most = maxInFlight(m_slotsPerTarget, m_carriers.size());
     for (TargetEntry &entry : m_targets) {
-        entry.limit.setMost(most);
+        entry.limit.setMaxLimit(most);
     }
 }
 
--- a/tests/newsfleet.h
+++ b/tests/discoveryfleet.h
@@ -1,4 +1,4 @@
-// A fleet of news followers before one store, on virtual time, for tests: processes die and start again, are turned
+// A fleet of update followers before one store, on virtual time, for tests: processes die and start again, are turned
 // away by the store or cut off from each other, and messages are lost.
 #pragma once
 
@@ -15,9 +15,9 @@
 
 #include "../src/net/fakekeyedstore.h"
 #include "mulberryplank/net/clock.h"
-#include "mulberryplank/net/newsfollower.h"
-#include "mulberryplank/net/pause.h"
-#include "mulberryplank/policy/newspeer.h"
+#include "mulberryplank/net/discoveryclient.h"
+#include "mulberryplank/net/sleep.h"
+#include "mulberryplank/policy/peerchoice.h"
 
 namespace mulberryplank
 {
@@ -26,21 +26,21 @@
 enum class StoreAccess {
     Served,
     Refused, // calls fail at once
-    Silent, // calls end without an answer when their time is up
+    Unresponsive, // calls end without an answer when their time is up
 };
 
 // How a fleet is played.
-struct NewsFleetPlan {
+struct DiscoveryFleetPlan {
     std::size_t domains = 3;
     std::size_t perDomain = 4; // processes
-    double lostHints = 0.05; // share of the datagrams
+    double hintLossRate = 0.05; // share of the datagrams
     std::uint64_t seed = 1;
 };
 
-class NewsFleet
+class DiscoveryFleet
 {
 public:
-    explicit NewsFleet(const NewsFleetPlan &plan)
+    explicit DiscoveryFleet(const DiscoveryFleetPlan &plan)
         : m_plan(plan)
         , m_random(plan.seed)
         , m_time(Instant(Seconds(1'000)))
@@ -95,8 +95,8 @@
     // The process dies, and another one starts in its place.
     void restartProcess(std::size_t index)
     {
-        m_processes[index]->life->alive = false;
-        m_retired.push_back(std::move(m_processes[index]->follower));
+        m_processes[index]->lifetime->alive = false;
+        m_retired.push_back(std::move(m_processes[index]->client));
         startProcess(index);
     }
 
@@ -106,9 +106,9 @@
     }
 
     // Cuts a process off from all others, or ends that.
-    void setCut(std::size_t index, bool isCut)
+    void setDisconnected(std::size_t index, bool isDisconnected)
     {
-        m_processes[index]->isCut = isCut;
+        m_processes[index]->isDisconnected = isDisconnected;
         m_processes[index]->disturbedAt = Clock::now();
     }
 
@@ -126,18 +126,18 @@
         for (const auto &[at, version] : m_confirmed) {
             due = now - at > bound ? std::max(due, version) : due;
         }
-        return countInTouch([due](const Process &process) {
+        return countConnected([due](const Process &process) {
             return versionOf(process) != 0 && versionOf(process) < due;
         });
     }
 
     // Returns how many of them would send a request to a target that left longer than `bound` ago.
-    std::size_t sendingToTheLeft(Duration bound) const
+    std::size_t sendingToLeftTargets(Duration bound) const
     {
         const Instant now = Clock::now();
-        return countInTouch([this, now, bound](const Process &process) {
+        return countConnected([this, now, bound](const Process &process) {
             return std::any_of(m_leftAt.begin(), m_leftAt.end(), [&](const auto &left) {
-                const auto &listed = process.follower->directory().targets();
+                const auto &listed = process.client->directory().targets();
                 const auto found = listed.find(nameOf(left.first));
                 return now - left.second > bound && found != listed.end() && !found->second.target.draining;
             });
@@ -145,17 +145,17 @@
     }
 
     // Says whether a process knows that a target leaves.
-    bool knowsThatLeft(std::size_t index, std::size_t target) const
+    bool knowsTargetLeft(std::size_t index, std::size_t target) const
     {
-        const auto &listed = m_processes[index]->follower->directory().targets();
+        const auto &listed = m_processes[index]->client->directory().targets();
         const auto found = listed.find(nameOf(target));
         return found != listed.end() && found->second.target.draining;
     }
 
     // Says whether a process has gone back to an older configuration.
-    bool hasGoneBack() const
+    bool hasRegressed() const
     {
-        return m_hasGoneBack;
+        return m_hasRegressed;
     }
 
 private:
@@ -169,22 +169,22 @@
     static constexpr Duration NewestLimit = Millis(1'500); // the same for the newest records
     static constexpr Duration KeepaliveLimit = Seconds(3);
     static constexpr Duration DeadAfter = Seconds(3); // others take a dead or cut process for alive for so long
-    static constexpr Duration InTouchAfter = Seconds(3); // from a start or the end of a cut
+    static constexpr Duration ConnectedAfter = Seconds(3); // from a start or the end of a cut
     static constexpr std::size_t ConfigurationReaders = 2; // of each failure domain
     static constexpr Duration GossipInterval = Millis(500);
     static constexpr Duration RequestInterval = Millis(100);
 
     // One start of a process: what it began before its end has no effect any more.
-    struct Life {
+    struct Lifetime {
         bool alive = true;
     };
     struct Process {
-        std::shared_ptr<Life> life;
-        std::unique_ptr<NewsFollower> follower;
+        std::shared_ptr<Lifetime> lifetime;
+        std::unique_ptr<DiscoveryClient> client;
         StoreAccess access = StoreAccess::Served;
-        UnhelpfulPeers silentPeers { Seconds(2) };
-        UnhelpfulPeers withoutList { Millis(500) };
-        bool isCut = false;
+        RecentlyFailedPeers unresponsivePeers { Seconds(2) };
+        RecentlyFailedPeers peersWithoutList { Millis(500) };
+        bool isDisconnected = false;
         Instant disturbedAt {}; // its start, or the begin or end of a cut
         std::uint64_t gossipedVersion = 0; // the configuration that the others know it to have
         Instant nextGossip {};
@@ -193,7 +193,7 @@
 
     static std::uint64_t versionOf(const Process &process)
     {
-        return process.follower->routes() ? process.follower->routes()->version : 0;
+        return process.client->routes() ? process.client->routes()->version : 0;
     }
 
     static TargetName nameOf(std::size_t target)
@@ -202,12 +202,12 @@
     }
 
     template<typename Predicate>
-    std::size_t countInTouch(Predicate counts) const
+    std::size_t countConnected(Predicate counts) const
     {
         const Instant now = Clock::now();
         const auto found = std::count_if(m_processes.begin(), m_processes.end(), [&](const auto &process) {
-            const bool inTouch = !process->isCut && now - process->disturbedAt > InTouchAfter;
-            return inTouch && counts(*process);
+            const bool isConnected = !process->isDisconnected && now - process->disturbedAt > ConnectedAfter;
+            return isConnected && counts(*process);
         });
         return static_cast<std::size_t>(found);
     }
@@ -224,20 +224,20 @@
     }
 
     // Returns whether the others take a process for alive.
-    bool seemsAlive(std::size_t index) const
+    bool consideredAlive(std::size_t index) const
     {
         const Process &process = *m_processes[index];
-        return !process.isCut || Clock::now() - process.disturbedAt < DeadAfter;
+        return !process.isDisconnected || Clock::now() - process.disturbedAt < DeadAfter;
     }
 
     // Returns who reads the store for a process, as this one sees it: who is cut off takes the others for dead in time.
-    std::size_t readerOf(std::size_t index) const
+    std::size_t designatedReader(std::size_t index) const
     {
-        if (!seemsAlive(index)) {
+        if (!consideredAlive(index)) {
             return index;
         }
         std::size_t reader = domainOf(index) * m_plan.perDomain;
-        while (reader != index && !seemsAlive(reader)) {
+        while (reader != index && !consideredAlive(reader)) {
             ++reader;
         }
         return reader;
@@ -248,19 +248,19 @@
     {
         std::size_t before = 0;
         for (std::size_t other = domainOf(index) * m_plan.perDomain; other < index; ++other) {
-            before += seemsAlive(other) && seemsAlive(index) ? 1 : 0;
+            before += consideredAlive(other) && consideredAlive(index) ? 1 : 0;
         }
         return before < ConfigurationReaders;
     }
 
-    bool chance(double probability)
+    bool drawEvent(double probability)
     {
         return std::bernoulli_distribution(probability)(m_random);
     }
 
     bool areConnected(std::size_t one, std::size_t other) const
     {
-        return !m_processes[one]->isCut && !m_processes[other]->isCut;
+        return !m_processes[one]->isDisconnected && !m_processes[other]->isDisconnected;
     }
 
     void runProcesses()
@@ -274,7 +274,7 @@
             }
             if (now >= process.nextRequest) {
                 process.nextRequest = now + RequestInterval;
-                needTargets(process);
+                ensureTargets(process);
             }
         }
     }
@@ -283,7 +283,7 @@
     void gossip(std::size_t index)
     {
         Process &process = *m_processes[index];
-        if (process.isCut) {
+        if (process.isDisconnected) {
             return;
         }
         process.gossipedVersion = versionOf(process);
@@ -291,7 +291,7 @@
         for (const auto &other : m_processes) {
             newest = std::max(newest, other->gossipedVersion);
         }
-        process.follower->noteVersionElsewhere(newest);
+        process.client->noteRemoteVersion(newest);
     }
 
     // Returns the others as a process knows them.
@@ -302,17 +302,17 @@
             Member member;
             member.incarnation = other + 1;
             member.applied = m_processes[other]->gossipedVersion;
-            member.status = seemsAlive(index) && seemsAlive(other) ? MemberStatus::Alive : MemberStatus::Dead;
+            member.status = consideredAlive(index) && consideredAlive(other) ? MemberStatus::Alive : MemberStatus::Dead;
             members.push_back(member);
         }
         return members;
     }
 
     // Returns the processes that callers are named: the first of each failure domain.
-    std::vector<Member> entriesFor(std::size_t index) const
+    std::vector<Member> ingressMembersFor(std::size_t index) const
     {
         std::vector<Member> members = membersFor(index);
-        std::vector<Member> entries;
+        std::vector<Member> ingressMembers;
         for (std::size_t begin = 0; begin < size(); begin += m_plan.perDomain) {
             const auto first = members.begin() + static_cast<std::ptrdiff_t>(begin);
             const auto last = first + static_cast<std::ptrdiff_t>(m_plan.perDomain);
@@ -320,124 +320,127 @@
                 return member.status == MemberStatus::Alive;
             });
             if (alive != last) {
-                entries.push_back(*alive);
+                ingressMembers.push_back(*alive);
             }
         }
-        return entries;
+        return ingressMembers;
     }
 
-    // Returns whom a process asks for news, itself if nobody.
-    std::size_t peerFor(std::size_t index, const PeerNewsRequest &request)
+    // Returns whom a process asks for update, itself if nobody.
+    std::size_t peerFor(std::size_t index, const PeerUpdateRequest &request)
     {
         const Process &process = *m_processes[index];
         const Instant now = Clock::now();
         const std::vector<Member> members = membersFor(index);
-        const std::vector<Member> entries = entriesFor(index);
+        const std::vector<Member> ingressMembers = ingressMembersFor(index);
         std::optional<Member> chosen;
         if (request.wantsTargets) {
-            chosen = choosePeerForList(entries, members, index + 1, process.withoutList, now, m_random);
+            chosen =
+                choosePeerForTargetList(ingressMembers, members, index + 1, process.peersWithoutList, now, m_random);
         } else {
-            const std::vector<Member> &candidates = chance(0.5) ? members : entries;
-            chosen = choosePeerForNews(candidates, index + 1, request.version, process.silentPeers, now, m_random);
+            const std::vector<Member> &candidates = drawEvent(0.5) ? members : ingressMembers;
+            chosen =
+                choosePeerForUpdate(candidates, index + 1, request.version, process.unresponsivePeers, now, m_random);
         }
         return chosen ? static_cast<std::size_t>(chosen->incarnation - 1) : index;
     }
 
-    boost::asio::awaitable<Result<PeerNews>> askPeer(std::size_t index, PeerNewsRequest request)
+    boost::asio::awaitable<Result<PeerUpdate>> queryPeer(std::size_t index, PeerUpdateRequest request)
     {
         const std::size_t peer = peerFor(index, request);
-        const Result<PeerNews> news = co_await ask(index, peer, request, request.wantsTargets ? ListLimit : PeerLimit);
-        if (request.wantsTargets && news && !news->upToDate && !readsFirstList(*news)) {
-            m_processes[index]->withoutList.note(peer + 1, Clock::now());
+        const Result<PeerUpdate> update =
+            co_await query(index, peer, request, request.wantsTargets ? ListLimit : PeerLimit);
+        if (request.wantsTargets && update && !update->upToDate && !readsFirstList(*update)) {
+            m_processes[index]->peersWithoutList.note(peer + 1, Clock::now());
         }
-        co_return news;
+        co_return update;
     }
 
-    void needTargets(Process &process)
+    void ensureTargets(Process &process)
     {
-        NewsFollower *follower = process.follower.get();
-        const std::function<DataAwaitable<void>()> ask = [follower]() -> DataAwaitable<void> {
-            co_await follower->needTargets();
+        DiscoveryClient *client = process.client.get();
+        const std::function<DataAwaitable<void>()> query = [client]() -> DataAwaitable<void> {
+            co_await client->ensureTargets();
         };
-        boost::asio::co_spawn(m_context.get_executor(), ask, boost::asio::detached);
+        boost::asio::co_spawn(m_context.get_executor(), query, boost::asio::detached);
     }
 
-    // Tells the processes of the same failure domain that there are news.
-    void tellNear(std::size_t index, std::uint64_t version)
+    // Tells the processes of the same failure domain that there are update.
+    void notifyDomain(std::size_t index, std::uint64_t version)
     {
         const std::size_t begin = domainOf(index) * m_plan.perDomain;
         for (std::size_t other = begin; other < begin + m_plan.perDomain && other < size(); ++other) {
-            if (other != index && areConnected(index, other) && !chance(m_plan.lostHints)) {
-                m_processes[other]->follower->noteNewsElsewhere(version);
+            if (other != index && areConnected(index, other) && !drawEvent(m_plan.hintLossRate)) {
+                m_processes[other]->client->noteRemoteUpdate(version);
             }
         }
     }
 
-    boost::asio::awaitable<Result<PeerNews>> ask(std::size_t from,
-                                                 std::size_t to,
-                                                 PeerNewsRequest request,
-                                                 Duration limit)
+    boost::asio::awaitable<Result<PeerUpdate>> query(std::size_t from,
+                                                     std::size_t to,
+                                                     PeerUpdateRequest request,
+                                                     Duration limit)
     {
         if (from == to) {
             co_return failure(ErrorKind::PeerLost, "nobody to ask");
         }
         if (!areConnected(from, to)) {
-            co_await pauseFor(m_context, limit);
-            m_processes[from]->silentPeers.note(to + 1, Clock::now());
-            m_processes[from]->withoutList.note(to + 1, Clock::now());
+            co_await sleepFor(m_context, limit);
+            m_processes[from]->unresponsivePeers.note(to + 1, Clock::now());
+            m_processes[from]->peersWithoutList.note(to + 1, Clock::now());
             co_return failure(ErrorKind::PeerLost, "no answer");
         }
-        co_await pauseFor(m_context, PeerDelay);
-        PeerNews news = m_processes[to]->follower->answerPeer(request);
-        co_await pauseFor(m_context, PeerDelay);
-        co_return news;
+        co_await sleepFor(m_context, PeerDelay);
+        PeerUpdate update = m_processes[to]->client->respondToPeer(request);
+        co_await sleepFor(m_context, PeerDelay);
+        co_return update;
     }
 
     KeyedStore storeOf(std::size_t index)
     {
-        const std::shared_ptr<Life> life = m_processes[index]->life;
+        const std::shared_ptr<Lifetime> lifetime = m_processes[index]->lifetime;
         KeyedStore store;
-        store.read = [this, index, life](KeyedTopic topic, Offset from, Millis wait) {
-            return read(index, *life, topic, from, wait);
+        store.read = [this, index, lifetime](KeyedTopic topic, Offset from, Millis wait) {
+            return read(index, *lifetime, topic, from, wait);
         };
-        store.newest = [this, index, life](KeyedTopic topic) {
-            return newest(index, *life, topic);
+        store.newest = [this, index, lifetime](KeyedTopic topic) {
+            return newest(index, *lifetime, topic);
         };
         return store;
     }
 
-    StoreAccess accessOf(std::size_t index, const Life &life) const
+    StoreAccess accessOf(std::size_t index, const Lifetime &lifetime) const
     {
-        return life.alive ? m_processes[index]->access : StoreAccess::Refused;
+        return lifetime.alive ? m_processes[index]->access : StoreAccess::Refused;
     }
 
     // A connection that goes silent while the call waits for records is noticed by its keepalive probes.
     boost::asio::awaitable<Result<KeyedPage>> read(
-        std::size_t index, const Life &life, KeyedTopic topic, Offset from, Millis wait)
+        std::size_t index, const Lifetime &lifetime, KeyedTopic topic, Offset from, Millis wait)
     {
         const Instant waitsUntil = Clock::now() + wait;
-        const Duration silenceLimit = wait.count() > 0 ? KeepaliveLimit : ReadLimit;
-        Duration silence {};
-        co_await pauseFor(m_context, StoreDelay);
-        while (accessOf(index, life) != StoreAccess::Refused && silence < silenceLimit) {
-            if (accessOf(index, life) == StoreAccess::Served) {
+        const Duration responseLimit = wait.count() > 0 ? KeepaliveLimit : ReadLimit;
+        Duration unresponsiveFor {};
+        co_await sleepFor(m_context, StoreDelay);
+        while (accessOf(index, lifetime) != StoreAccess::Refused && unresponsiveFor < responseLimit) {
+            if (accessOf(index, lifetime) == StoreAccess::Served) {
                 const Result<KeyedPage> page = co_await m_store.access().read(topic, from, Millis(0));
-                if (!page->records.empty() || page->historyGone || Clock::now() >= waitsUntil) {
+                if (!page->records.empty() || page->historyExpired || Clock::now() >= waitsUntil) {
                     co_return page;
                 }
             } else {
-                silence += StoreDelay;
+                unresponsiveFor += StoreDelay;
             }
-            co_await pauseFor(m_context, StoreDelay);
+            co_await sleepFor(m_context, StoreDelay);
         }
         co_return failure(ErrorKind::PlatformUnavailable, "turned away");
     }
 
-    boost::asio::awaitable<Result<KeyedSnapshot>> newest(std::size_t index, const Life &life, KeyedTopic topic)
+    boost::asio::awaitable<Result<KeyedSnapshot>> newest(std::size_t index, const Lifetime &lifetime, KeyedTopic topic)
     {
-        const bool isSilent = accessOf(index, life) == StoreAccess::Silent;
-        co_await pauseFor(m_context, isSilent ? NewestLimit : StoreDelay);
-        if (isSilent || accessOf(index, life) != StoreAccess::Served) {
+        const bool isUnresponsive = accessOf(index, lifetime) == StoreAccess::Unresponsive;
+        co_await sleepFor(m_context, isUnresponsive ? NewestLimit : StoreDelay);
+        if (isUnresponsive || accessOf(index, lifetime) != StoreAccess::Served) {
             co_return failure(ErrorKind::PlatformUnavailable, "turned away");
         }
         co_return co_await m_store.access().newest(topic);
@@ -446,59 +449,59 @@
     void startProcess(std::size_t index)
     {
         Process &process = *m_processes[index];
-        const auto life = std::make_shared<Life>();
-        process.life = life;
+        const auto lifetime = std::make_shared<Lifetime>();
+        process.lifetime = lifetime;
         process.disturbedAt = Clock::now();
         process.gossipedVersion = 0;
-        NewsHooks hooks;
+        DiscoveryHooks hooks;
         hooks.configurationKey = "config";
         hooks.decodeRoutes = decodeRoutes;
         hooks.decodeTarget = decodeTarget;
-        hooks.routesChanged = [this, index, life, last = std::uint64_t { 0 }](const RouteTablePtr &table) mutable {
-            m_hasGoneBack = m_hasGoneBack || table->version < last;
+        hooks.routesChanged = [this, index, lifetime, last = std::uint64_t { 0 }](const RouteTablePtr &table) mutable {
+            m_hasRegressed = m_hasRegressed || table->version < last;
             last = table->version;
-            if (life->alive && readsConfiguration(index)) {
-                tellNear(index, table->version);
+            if (lifetime->alive && readsConfiguration(index)) {
+                notifyDomain(index, table->version);
             }
         };
         hooks.targetsRead = [](const TargetDirectory &, bool) {};
-        hooks.askPeer = [this, index, life](PeerNewsRequest request) {
-            return life->alive ? askPeer(index, request) : ask(index, index, request, {});
+        hooks.queryPeer = [this, index, lifetime](PeerUpdateRequest request) {
+            return lifetime->alive ? queryPeer(index, request) : query(index, index, request, {});
         };
-        hooks.askReader = [this, index, life](PeerNewsRequest request) {
-            const std::size_t reader = life->alive ? readerOf(index) : index;
-            const bool isSilent = m_processes[index]->silentPeers.contains(reader + 1, Clock::now());
-            return ask(index, isSilent ? index : reader, request, ReaderLimit);
+        hooks.queryReader = [this, index, lifetime](PeerUpdateRequest request) {
+            const std::size_t reader = lifetime->alive ? designatedReader(index) : index;
+            const bool isUnresponsive = m_processes[index]->unresponsivePeers.contains(reader + 1, Clock::now());
+            return query(index, isUnresponsive ? index : reader, request, ReaderLimit);
         };
-        hooks.hasReader = [this, index, life] {
-            return life->alive && readerOf(index) != index;
+        hooks.hasReader = [this, index, lifetime] {
+            return lifetime->alive && designatedReader(index) != index;
         };
-        hooks.readsConfiguration = [this, index, life] {
-            return life->alive && readsConfiguration(index);
+        hooks.readsConfiguration = [this, index, lifetime] {
+            return lifetime->alive && readsConfiguration(index);
         };
-        hooks.followersNear = [this] {
+        hooks.followersInDomain = [this] {
             return m_plan.perDomain;
         };
-        hooks.storeChanged = [this, index, life](bool foundFirst) {
-            if (foundFirst && life->alive) {
-                tellNear(index, 0);
+        hooks.storeChanged = [this, index, lifetime](bool firstToRecover) {
+            if (firstToRecover && lifetime->alive) {
+                notifyDomain(index, 0);
             } else {
-                tellAsReader(index, *life, 0);
+                notifyDomainAsReader(index, *lifetime, 0);
             }
         };
-        hooks.listChanged = [this, index, life] {
-            tellAsReader(index, *life, versionOf(*m_processes[index]));
+        hooks.listChanged = [this, index, lifetime] {
+            notifyDomainAsReader(index, *lifetime, versionOf(*m_processes[index]));
         };
         const EventSink events = [](Event, std::initializer_list<EventField>) {};
-        process.follower =
-            std::make_unique<NewsFollower>(m_context, storeOf(index), m_settings, std::move(hooks), ++m_starts, events);
-        process.follower->start();
+        process.client = std::make_unique<DiscoveryClient>(
+            m_context, storeOf(index), m_settings, std::move(hooks), ++m_starts, events);
+        process.client->start();
     }
 
-    void tellAsReader(std::size_t index, const Life &life, std::uint64_t version)
+    void notifyDomainAsReader(std::size_t index, const Lifetime &lifetime, std::uint64_t version)
     {
-        if (life.alive && readerOf(index) == index) {
-            tellNear(index, version);
+        if (lifetime.alive && designatedReader(index) == index) {
+            notifyDomain(index, version);
         }
     }
 
@@ -518,13 +521,13 @@
         return target;
     }
 
-    NewsFleetPlan m_plan;
+    DiscoveryFleetPlan m_plan;
     std::mt19937_64 m_random;
     VirtualTime m_time;
     boost::asio::io_context m_context;
     FakeKeyedStore m_store;
-    NewsSettings m_settings;
-    std::vector<std::unique_ptr<NewsFollower>> m_retired; // their coroutines refer to them
+    DiscoverySettings m_settings;
+    std::vector<std::unique_ptr<DiscoveryClient>> m_retired; // their coroutines refer to them
     std::vector<std::unique_ptr<Process>> m_processes;
     std::vector<std::pair<Instant, std::uint64_t>> m_confirmed;
     std::map<std::size_t, Instant> m_leftAt; // of targets that drain
@@ -532,7 +535,7 @@
     std::uint64_t m_sequence = 0;
     std::size_t m_targetsStarted = 0;
     Incarnation m_starts = 0;
-    bool m_hasGoneBack = false;
+    bool m_hasRegressed = false;
 };
 
 } // namespace mulberryplank
--- a/tests/virtualfleet.h
+++ b/tests/virtualfleet.h
@@ -22,7 +22,7 @@
         Member self;
         std::unique_ptr<Membership> membership; // none: not running
         Instant pausedUntil {};
-        std::size_t heldMessages = 0; // that arrived during the pause
+        std::size_t queuedMessages = 0; // that arrived during the pause
         std::uint32_t run = 0; // counts starts
         std::uint64_t messagesSent = 0;
         std::uint64_t bytesSent = 0;
@@ -84,7 +84,7 @@
     void pause(std::size_t index, Duration length)
     {
         m_nodes[index].pausedUntil = m_now + length;
-        m_nodes[index].heldMessages = 0;
+        m_nodes[index].queuedMessages = 0;
     }
 
     void run(Duration length)
@@ -111,7 +111,7 @@
     }
 
     // Returns the number of running processes that take `subject`'s present run for alive or leaving, without itself.
-    std::size_t believers(std::size_t subject) const
+    std::size_t countSeeingAlive(std::size_t subject) const
     {
         std::size_t count = 0;
         for (std::size_t i = 0; i < m_nodes.size(); ++i) {
@@ -144,7 +144,7 @@
         return { "10.0.0.1", static_cast<std::uint16_t>(1'000 + index) };
     }
 
-    std::size_t heldLimit = 200; // messages that wait in the socket of a paused process
+    std::size_t maxQueuedMessages = 200; // messages that wait in the socket of a paused process
     double loss = 0; // of datagrams, 0 to 1
     std::function<bool(std::size_t from, std::size_t to)> blocked; // links that are cut, by direction
     std::function<std::size_t(const MembershipMessage &)> sizeOf; // for bytesSent
@@ -187,7 +187,7 @@
             // On resume the timer goes off before anything is read: the worse order.
             if (!item.message) {
                 m_queue.push({ node.pausedUntil, 0, item.node, item.run, nullptr });
-            } else if (node.heldMessages++ < heldLimit) {
+            } else if (node.queuedMessages++ < maxQueuedMessages) {
                 schedule({ node.pausedUntil, 0, item.node, item.run, item.message });
             }
             return;
@@ -235,7 +235,7 @@
             return;
         }
         const auto request = m_nodes[from].membership->exchangeRequest();
-        m_nodes[from].membership->mergeExchange(peer.membership->answerExchange(request, m_now), m_now);
+        m_nodes[from].membership->mergeExchange(peer.membership->respondToExchange(request, m_now), m_now);
     }
 
     MembershipSettings m_settings;
