--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,5 +1,5 @@
-// Measures what the control side of one proxy costs in a large fleet: the copies of the member list, placement, and the
-// table with its views. Processor time of one thread; prints JSON:
+// Measures the cost of the control plane of one proxy in a large fleet: copies of the member list, placement, and the
+// table with its views. Reports the processor time of one thread as JSON:
 // bench-capacity [--out FILE] [--members N]
 #include <malloc.h>
 
@@ -42,8 +42,8 @@
     return members;
 }
 
-// What every process does with the list of members: MemberService publishes a copy once a second, and each tick makes
-// copies, a fingerprint and the choice of those that read the log.
+// Measures the work of every process on the member list: MemberService publishes a copy once a second, and each tick
+// makes copies, computes a fingerprint and selects the members that read the log.
 boost::json::object memberList(std::size_t size)
 {
     const std::vector<Member> members = fleetOf(size);
@@ -53,20 +53,21 @@
     const double copy = microseconds(Repeats, [&] {
         std::vector<Member> another;
         another = members;
-        kept = kept + another.size();
+        optimizerSink = optimizerSink + another.size();
     });
     const double pollers = microseconds(Repeats, [&] {
-        kept = kept + pollerRank(self, members, 2).value_or(0);
+        optimizerSink = optimizerSink + pollerRank(self, members, 2).value_or(0);
     });
     const double place = microseconds(Repeats, [&] {
-        kept = kept + assignedProxies(serviceName(0), members, placement, typical).size();
+        optimizerSink = optimizerSink + assignedProxies(serviceName(0), members, placement, typical).size();
     });
     return {
         { "members", size }, { "copy_us", copy }, { "poller_rank_us", pollers }, { "carriers_of_one_service_us", place }
     };
 }
 
-// Heap that a process's knowledge of the members takes: its own list, the list as handed out, and one published copy.
+// Measures the heap that the member state of a process takes: its own list, the list returned to callers of members(),
+// and one published copy.
 boost::json::object membershipMemory(std::size_t size)
 {
     const std::vector<Member> members = fleetOf(size);
@@ -89,11 +90,11 @@
              { "bytes_per_member", (heapBytes() - before) / static_cast<double>(size) } };
 }
 
-// The whole table, one process's share of the services, and what changes cost it.
-class CarriedBench
+// Measures the size of the whole table and of the services assigned to one process, and the cost of changes to them.
+class AssignmentBench
 {
 public:
-    explicit CarriedBench(std::size_t size)
+    explicit AssignmentBench(std::size_t size)
         : m_members(fleetOf(size))
     {
     }
@@ -103,16 +104,16 @@
         const double empty = heapBytes();
         fill();
         const double table = heapBytes() - empty;
-        const auto onCarriers = [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {};
-        AssignedServices carried(m_services, m_config, onCarriers, m_members.front(), m_placement, m_events);
+        const auto onAssignedPeers = [](const ServiceName &, const std::vector<AssignedPeer> &, bool, Instant) {};
+        AssignedServices assigned(m_services, m_config, onAssignedPeers, m_members.front(), m_placement, m_events);
         auto list = std::make_shared<const std::vector<Member>>(m_members);
         const auto update = [&] {
-            carried.update(list, m_config.applied(), m_now);
+            assigned.update(list, m_config.applied(), m_now);
         };
         const double first = microseconds(1, update);
         const double views = heapBytes() - empty - table;
         const double unchanged = microseconds(Repeats, update);
-        const double afterLeave = microseconds(2, [&] {
+        const double afterMemberChange = microseconds(2, [&] {
             m_members.back().ready = !m_members.back().ready;
             list = std::make_shared<const std::vector<Member>>(m_members);
             update();
@@ -121,10 +122,14 @@
             editOneRow();
             update();
         });
-        return { { "members", m_members.size() },    { "services_carried", carried.count() },
-                 { "table_bytes", table },           { "views_and_carried_state_bytes", views },
-                 { "first_placement_us", first },    { "tick_without_change_us", unchanged },
-                 { "member_change_us", afterLeave }, { "edit_us", afterEdit } };
+        return { { "members", m_members.size() },
+                 { "services_carried", assigned.count() },
+                 { "table_bytes", table },
+                 { "views_and_carried_state_bytes", views },
+                 { "first_placement_us", first },
+                 { "tick_without_change_us", unchanged },
+                 { "member_change_us", afterMemberChange },
+                 { "edit_us", afterEdit } };
     }
 
 private:
@@ -199,7 +204,7 @@
     boost::json::object result;
     result["member_list"] = boost::json::array { memberList(32), memberList(600), memberList(members) };
     result["membership_memory"] = membershipMemory(members);
-    result["carried"] = CarriedBench(members).run();
+    result["carried"] = AssignmentBench(members).run();
     const std::string text = boost::json::serialize(result);
     std::cout << text << '\n';
     if (!out.empty()) {
--- a/bench/carrierreports.cpp
+++ b/bench/carrierreports.cpp
@@ -1,5 +1,5 @@
-// Measures the reports that the carriers of one service send each other: their size, how many are sent, and what they
-// cost. Prints JSON: bench-carrierreports [--out FILE]
+// Measures the reports that the proxies assigned to one service send each other: size, number and cost.
+// Prints JSON: bench-carrierreports [--out FILE]
 #include <algorithm>
 #include <fstream>
 #include <iostream>
@@ -21,7 +21,8 @@
 namespace
 {
 
-// One report of evidence between two carriers of a typical service, as sealed for the wire without UDP and IP headers.
+// Measures one evidence report between two proxies assigned to a typical service. Sizes are those of the sealed
+// message without UDP and IP headers.
 boost::json::object evidenceReport(std::size_t targets, std::size_t peers)
 {
     EvidenceReport report;
@@ -39,10 +40,10 @@
     };
     const std::string busy = sealed(report);
     const double sealing = microseconds(2'000, [&] {
-        kept = kept + sealed(report).size();
+        optimizerSink = optimizerSink + sealed(report).size();
     });
     const double unsealing = microseconds(2'000, [&] {
-        kept = kept + unseal(busy, { FleetKey })->payload.size();
+        optimizerSink = optimizerSink + unseal(busy, { FleetKey })->payload.size();
     });
     report.evidence.clear();
     return { { "targets", targets },
@@ -53,16 +54,17 @@
              { "unseal_us", unsealing } };
 }
 
-// The demand that one carrier of a service reports to the others while so many accounts call, and none of the others
-// reports: what goes out in a few seconds, by datagram, or by call where a report has no room in one.
+// Measures the demand that one proxy assigned to a service reports to the other assigned proxies while `accounts`
+// accounts send requests and no other proxy reports. Counts what is sent in a few seconds, by datagram, or by call
+// where a report doesn't fit into a datagram.
 class DemandBench
 {
 public:
     DemandBench(std::size_t accounts, std::size_t peers)
         : m_accounts(accounts)
         , m_peers(peers)
-        , m_transport(m_context, keyedTransport(), m_events)
-        , m_receiver(m_context, keyedTransport(), m_events)
+        , m_transport(m_context, keyedTransportSettings(), m_events)
+        , m_receiver(m_context, keyedTransportSettings(), m_events)
         , m_exchange(m_context, m_services, m_transport, m_events)
         , m_state(new ServiceState(serviceName(0), Self, FailureDomain("hall-0"), 1, m_events))
     {
@@ -81,15 +83,15 @@
         }
         deliverAll(m_state->configure(serviceOf(0), targets, rows, m_now));
         m_services.put(serviceName(0), ServedService { m_state, nullptr });
-        std::vector<AssignedPeer> carriers;
+        std::vector<AssignedPeer> assignedPeers;
         std::vector<PeerId> ids;
         for (std::size_t number = 1; number <= peers; ++number) {
             const Member member = memberOf(number);
             ids.push_back(PeerId { member.vm, member.incarnation });
-            carriers.push_back(AssignedPeer { ids.back(), m_receiver.advertised() });
+            assignedPeers.push_back(AssignedPeer { ids.back(), m_receiver.advertised() });
         }
         m_state->setPeers(ids, m_now);
-        m_exchange.setPeers(serviceName(0), carriers);
+        m_exchange.setPeers(serviceName(0), assignedPeers);
     }
 
     boost::json::object run()
@@ -98,12 +100,12 @@
         std::uint64_t largest = 0;
         const double begin = processorSeconds();
         for (int step = 0; step < Steps; ++step) {
-            callOnce();
+            sendRequestFromEveryAccount();
             m_now += Millis(100);
             const std::uint64_t before = m_transport.bytesSent();
             m_exchange.tick(m_now);
             m_context.restart();
-            m_context.run_for(CallsTime);
+            m_context.run_for(CallCompletionTime);
             const std::uint64_t bytes = (m_transport.bytesSent() - before) / m_peers;
             reports += bytes > 0 ? 1 : 0;
             largest = std::max(largest, bytes);
@@ -120,11 +122,11 @@
 
 private:
     static constexpr int Steps = 50;
-    static constexpr Millis CallsTime { 15 }; // for the calls of one step to end
+    static constexpr Millis CallCompletionTime { 15 }; // for the calls of one step
     inline static const PeerId Self { VmName("vm-10000"), 1 };
 
-    // Every account calls once, and is answered at once.
-    void callOnce()
+    // Every account sends one request, which completes immediately.
+    void sendRequestFromEveryAccount()
     {
         for (std::size_t number = 0; number < m_accounts; ++number) {
             Admission admission;
@@ -156,7 +158,7 @@
     boost::asio::io_context m_context;
     ServiceRegistry m_services;
     PeerTransport m_transport;
-    PeerTransport m_receiver; // stands for all peers
+    PeerTransport m_receiver; // receives for all peers
     ShareExchange m_exchange;
     ServiceStatePtr m_state;
     RequestId m_nextRequest = 1;
--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,7 +1,10 @@
-// Measures the table of the configuration: bytes per item, and what an edit, a snapshot and a digest cost as the table
-// grows. bench-config [--out FILE] [--rows N]
-// bench-config --peak publish-whole|publish-parts|load-whole|load-parts [--rows N] tells instead the peak of the
-// process's resident memory over that of its table alone, one way in a process of its own.
+// Measures the configuration table: bytes per item, and the cost of an edit, a snapshot and a digest as the table
+// grows:
+// bench-config [--out FILE] [--rows N]
+//
+// With --peak, reports instead by how much the peak resident memory of the process exceeds that of its table alone. Each
+// variant runs in its own process:
+// bench-config --peak publish-whole|publish-parts|load-whole|load-parts [--rows N]
 #include <malloc.h>
 
 #include <chrono>
@@ -40,16 +43,16 @@
     return prefix + std::to_string(1'000'000 + number);
 }
 
-// Applies items in edits of many, and tells what they take.
-class Filler
+// Applies items in edits of ChangesPerEdit changes and measures the heap that they take.
+class TableFiller
 {
 public:
-    explicit Filler(ConfigTable &table)
+    explicit TableFiller(ConfigTable &table)
         : m_table(table)
     {
     }
 
-    // Adds `count` items made by `make` and returns the bytes of heap that each took.
+    // Adds `count` items created by `make` and returns the heap bytes per item.
     template<typename Make>
     double fill(std::size_t count, Make make)
     {
@@ -91,10 +94,10 @@
     return ServiceName(numbered("svc", number));
 }
 
-// Fills a table with `rows` rows and as many accounts, and targets and services in proportion.
+// Fills a table with `rows` rows, the same number of accounts, and a proportional number of targets and services.
 void fillAll(ConfigTable &table, std::size_t rows)
 {
-    Filler filler(table);
+    TableFiller filler(table);
     const std::size_t services = std::max<std::size_t>(1, rows * 3'500 / 220'000);
     filler.fill(services, [](std::size_t number) {
         Service service;
@@ -118,7 +121,7 @@
     });
 }
 
-// Returns a line of /proc/self/status in bytes.
+// Returns the value of a line of /proc/self/status in bytes, or 0 if there is no such line.
 double statusBytes(const std::string &name)
 {
     std::ifstream status("/proc/self/status");
@@ -137,13 +140,13 @@
     std::ofstream("/proc/self/clear_refs") << "5";
 }
 
-// The parts as a log would hold them, in files so that they take no memory here.
+// Appends a snapshot part to a file that stands in for the log, so that the parts take no memory in this process.
 void spool(const std::string &path, std::string part)
 {
     std::ofstream(path, std::ios::app) << part << '\n';
 }
 
-boost::json::object peakOf(const std::string &way, std::size_t rows, const std::string &path)
+boost::json::object measurePeak(const std::string &variant, std::size_t rows, const std::string &path)
 {
     std::ofstream(path).flush();
     double before = 0;
@@ -152,7 +155,7 @@
         fillAll(table, rows);
         resetPeak();
         before = statusBytes("VmRSS:");
-        if (way == "publish-whole") {
+        if (variant == "publish-whole") {
             for (std::string &part : splitSnapshot(table.nextOffset(), table.snapshot())) {
                 spool(path, std::move(part));
             }
@@ -163,7 +166,7 @@
             }
         }
     }
-    if (way.starts_with("load")) {
+    if (variant.starts_with("load")) {
         resetPeak();
         before = statusBytes("VmRSS:");
         SnapshotAssembler assembler;
@@ -171,27 +174,27 @@
         for (std::string record; std::getline(records, record);) {
             assembler.add(record);
         }
-        const auto table = way == "load-whole" ? ConfigTable::fromSnapshot(assembler.newest()->bytes)
-                                               : ConfigTable::fromSnapshot(std::move(*assembler.takeNewest()));
+        const auto table = variant == "load-whole" ? ConfigTable::fromSnapshot(assembler.newest()->bytes)
+                                                   : ConfigTable::fromSnapshot(std::move(*assembler.takeNewest()));
         if (!table) {
             std::exit(1);
         }
     }
-    return { { "way", way },
+    return { { "way", variant },
              { "rows", rows },
              { "resident_before", before },
              { "resident_peak", statusBytes("VmHWM:") },
              { "over", statusBytes("VmHWM:") - before } };
 }
 
-// Returns what the table costs with `rows` rows and as many accounts, and targets and services in the proportion of the
-// size to design for.
+// Returns the costs of a table with `rows` rows, the same number of accounts, and targets and services in the
+// proportions of the design size.
 boost::json::object measure(std::size_t rows)
 {
     const std::size_t services = std::max<std::size_t>(1, rows * 3'500 / 220'000);
     const std::size_t targets = std::max<std::size_t>(1, rows * 58'000 / 220'000);
     ConfigTable table;
-    Filler filler(table);
+    TableFiller filler(table);
     boost::json::object result {
         { "accounts", rows }, { "rows", rows }, { "services", services }, { "targets", targets }
     };
@@ -223,8 +226,8 @@
         const std::size_t number = count * 7'919 % rows;
         auto row = table.row(accountOf(number).name, serviceNameOf(number % services));
         const Version later = table.nextOffset() + count + 1;
-        const std::size_t sameBefore = count >= rows ? count - rows : count;
-        row->version = sameBefore == count ? row->version : later - rows;
+        const std::size_t previousEditOfRow = count >= rows ? count - rows : count;
+        row->version = previousEditOfRow == count ? row->version : later - rows;
         edits.push_back(encodeEdit({ EditId(numbered("timed", count)), { { *row, false } } }));
     }
     auto begin = std::chrono::steady_clock::now();
@@ -260,15 +263,15 @@
     for (int index = 1; index + 1 < argc; index += 2) {
         options[argv[index]] = argv[index + 1];
     }
-    const std::size_t most = options.contains("--rows") ? std::stoul(options["--rows"]) : 220'000;
+    const std::size_t maxRows = options.contains("--rows") ? std::stoul(options["--rows"]) : 220'000;
     if (options.contains("--peak")) {
         const std::string path = options.contains("--spool") ? options["--spool"] : "build/measure/snapshot-parts.tmp";
-        std::cout << boost::json::serialize(peakOf(options["--peak"], most, path)) << std::endl;
+        std::cout << boost::json::serialize(measurePeak(options["--peak"], maxRows, path)) << std::endl;
         return 0;
     }
     boost::json::array sizes;
     for (const std::size_t divisor : { 100, 10, 1 }) {
-        sizes.push_back(measure(std::max<std::size_t>(TimedEdits, most / divisor)));
+        sizes.push_back(measure(std::max<std::size_t>(TimedEdits, maxRows / divisor)));
         std::cout << boost::json::serialize(sizes.back()) << std::endl;
     }
     if (options.contains("--out")) {
--- a/bench/fairness.cpp
+++ b/bench/fairness.cpp
@@ -1,5 +1,5 @@
-// Measures how fairly a service is shared: the policies themselves, on a virtual clock, against first come first served
-// and static limits per proxy. Prints tables and writes them as JSON to the file given as --json FILE.
+// Measures how fairly a service is shared. Runs the policies on a virtual clock and compares them with first come first
+// served and with static limits per proxy. Prints tables and writes them as JSON to the file given as --json FILE.
 #include <cstdio>
 #include <cstring>
 #include <fstream>
@@ -21,12 +21,12 @@
 
 constexpr double SmallRead = 0.02; // seconds
 constexpr double LargeDownload = 2; // seconds
-constexpr double OthersLoad = 0.8; // of what they are entitled to
-constexpr double GreedyLoad = 100; // times what it is entitled to
+constexpr double OthersLoad = 0.8; // relative to their entitlement
+constexpr double GreedyLoad = 100; // relative to its entitlement
 
 enum class Spread {
-    Even, // every account comes to every proxy alike
-    Skewed, // every account but the greedy one comes to a single proxy, half of them to the first
+    Even, // every account sends evenly to all proxies
+    Skewed, // every account but the greedy one uses a single proxy, half of them the first
 };
 
 struct Scenario {
@@ -36,7 +36,7 @@
     double greedyCost;
 };
 
-// Account 0 is greedy; the others' weights are 1, 2 and 3 in turn.
+// Account 0 is greedy. The weights of the other accounts cycle through 1, 2 and 3.
 std::vector<Load> loadsOf(const Scenario &scenario, const Settings &settings)
 {
     std::vector<Load> loads(scenario.accounts);
@@ -52,66 +52,66 @@
         load.cost = account == 0 ? scenario.greedyCost : SmallRead;
         load.fixedCost = load.cost == LargeDownload;
         if (scenario.spread == Spread::Skewed && account != 0) {
-            load.proxyParts.assign(settings.proxies, 0);
-            load.proxyParts[account % 2 == 0 ? 0 : account % settings.proxies] = 1;
+            load.proxyShares.assign(settings.proxies, 0);
+            load.proxyShares[account % 2 == 0 ? 0 : account % settings.proxies] = 1;
         }
     }
     return loads;
 }
 
-double answerAlone(const Scenario &scenario, Settings settings)
+double soloResponseTime(const Scenario &scenario, Settings settings)
 {
     settings.policy = Policy::FairQueue;
     std::vector<Load> loads = loadsOf(scenario, settings);
     for (std::size_t account = 0; account < loads.size(); ++account) {
         loads[account].slots = account == 1 ? std::max(loads[account].slots, 1.0) : 0;
     }
-    return quantile(Simulation(settings, loads).run().accounts[1].answers, 0.99);
+    return quantile(Simulation(settings, loads).run().accounts[1].responseTimes, 0.99);
 }
 
-json::object compare(const Scenario &scenario, Policy policy, double alone)
+json::object compare(const Scenario &scenario, Policy policy, double soloP99)
 {
     Settings settings;
     settings.policy = policy;
     const std::vector<Load> loads = loadsOf(scenario, settings);
     const SimulationResult outcome = Simulation(settings, loads).run();
-    std::vector<double> wanted;
+    std::vector<double> demands;
     std::vector<double> weights;
     for (std::size_t account = 0; account < loads.size(); ++account) {
-        wanted.push_back(outcome.accounts[account].offered);
+        demands.push_back(outcome.accounts[account].offered);
         weights.push_back(loads[account].weight);
     }
-    const std::vector<double> entitled = entitledParts(wanted, weights, settings.slots);
-    std::vector<double> parts;
+    const std::vector<double> entitled = maxMinFairShares(demands, weights, settings.slots);
+    std::vector<double> servedShares;
     std::vector<double> waits;
-    std::vector<double> answers;
+    std::vector<double> responseTimes;
     double servedOthers = 0;
     double entitledOthers = 0;
     double worst = 1e9;
     for (std::size_t account = 0; account < loads.size(); ++account) {
         const AccountResult &result = outcome.accounts[account];
-        parts.push_back(result.served / entitled[account]);
+        servedShares.push_back(result.served / entitled[account]);
         if (account != 0) {
             servedOthers += result.served;
             entitledOthers += entitled[account];
-            worst = std::min(worst, parts.back());
+            worst = std::min(worst, servedShares.back());
             waits.insert(waits.end(), result.waits.begin(), result.waits.end());
-            answers.insert(answers.end(), result.answers.begin(), result.answers.end());
+            responseTimes.insert(responseTimes.end(), result.responseTimes.begin(), result.responseTimes.end());
         }
     }
-    const double answer = quantile(answers, 0.99);
+    const double p99ResponseTime = quantile(responseTimes, 0.99);
     json::object row;
     row["scenario"] = scenario.name;
     row["accounts"] = scenario.accounts;
     row["policy"] = fairnessmodel::toString(policy);
     row["others_goodput_of_entitled"] = servedOthers / entitledOthers;
     row["worst_goodput_of_entitled"] = worst;
-    row["greedy_goodput_of_entitled"] = parts[0];
-    row["jain_weighted"] = jainIndex(parts);
+    row["greedy_goodput_of_entitled"] = servedShares[0];
+    row["jain_weighted"] = jainIndex(servedShares);
     row["others_p99_wait_ms"] = quantile(waits, 0.99) * 1e3;
-    row["others_p99_answer_ms"] = answer * 1e3;
-    row["alone_p99_answer_ms"] = alone * 1e3;
-    row["p99_answer_to_alone"] = answer / alone;
+    row["others_p99_answer_ms"] = p99ResponseTime * 1e3;
+    row["alone_p99_answer_ms"] = soloP99 * 1e3;
+    row["p99_answer_to_alone"] = p99ResponseTime / soloP99;
     return row;
 }
 
@@ -143,9 +143,9 @@
                 "to alone");
     json::array rows;
     for (const Scenario &scenario : scenarios) {
-        const double alone = answerAlone(scenario, Settings {});
+        const double soloP99 = soloResponseTime(scenario, Settings {});
         for (const Policy policy : { Policy::FairQueue, Policy::FirstComeFirstServed, Policy::StaticLimits }) {
-            const json::object row = compare(scenario, policy, alone);
+            const json::object row = compare(scenario, policy, soloP99);
             std::printf("%-17s %8zu  %-23s %8.3f %8.3f %8.3f %6.3f %6.1f ms %6.1f ms %8.2f\n",
                         scenario.name,
                         scenario.accounts,
@@ -183,19 +183,19 @@
             std::printf("%8zu  %-23s %10.3f %10.3f %10.3f %10.3f %8.0f %9.2f\n",
                         proxies,
                         policy,
-                        outcome.steadySum,
-                        outcome.movingSum,
-                        outcome.steadyUse,
-                        outcome.movedUse,
+                        outcome.maxSteadyRate,
+                        outcome.maxMovingRate,
+                        outcome.steadyUtilization,
+                        outcome.movedUtilization,
                         outcome.settleSeconds,
                         outcome.reportsPerSecond);
             json::object row;
             row["proxies"] = proxies;
             row["policy"] = policy;
-            row["steady_sum_of_limit"] = outcome.steadySum;
-            row["moving_sum_of_limit"] = outcome.movingSum;
-            row["steady_use_of_limit"] = outcome.steadyUse;
-            row["moved_use_of_limit"] = outcome.movedUse;
+            row["steady_sum_of_limit"] = outcome.maxSteadyRate;
+            row["moving_sum_of_limit"] = outcome.maxMovingRate;
+            row["steady_use_of_limit"] = outcome.steadyUtilization;
+            row["moved_use_of_limit"] = outcome.movedUtilization;
             row["settle_s"] = outcome.settleSeconds;
             row["reports_per_s"] = outcome.reportsPerSecond;
             rows.push_back(row);
@@ -204,7 +204,7 @@
     return rows;
 }
 
-// Slot-time per second that was answered in time, between two seconds.
+// Returns the mean goodput in [from, to): slot-time per second of requests that completed before their deadline.
 double goodput(const SimulationResult &outcome, int from, int to)
 {
     double sum = 0;
@@ -214,38 +214,38 @@
     return sum / (to - from);
 }
 
-struct Spell {
+struct OverloadPhase {
     const char *name;
-    double load; // of the capacity, during the spell
-    double capacityPart; // of the slots, during the spell
+    double load; // relative to the capacity, in this phase
+    double capacityShare; // of the slots, in this phase
 };
 
-constexpr int SpellFrom = 20;
-constexpr int SpellTo = 40;
-constexpr int SpellEnd = 60;
-constexpr double OrdinaryLoad = 0.7;
-constexpr double RecoveredPart = 0.95;
+constexpr int OverloadStart = 20;
+constexpr int OverloadEnd = 40;
+constexpr int RunEnd = 60;
+constexpr double BaselineLoad = 0.7;
+constexpr double RecoveredShare = 0.95;
 constexpr double ShortWait = 0.1; // seconds
 
-json::object measureSpell(const Spell &spell, Policy policy, bool heed)
+json::object measureOverload(const OverloadPhase &phase, Policy policy, bool honorRetryAfterHeader)
 {
     Settings settings;
     settings.policy = policy;
-    settings.seconds = SpellEnd;
+    settings.seconds = RunEnd;
     settings.warmUp = 0;
     settings.deadline = 1;
     settings.retries = 3;
-    settings.heedRetryAfter = heed;
-    settings.controlQueue = policy == Policy::FairQueue;
-    const auto within = [](double second) {
-        return second >= SpellFrom && second < SpellTo;
+    settings.honorRetryAfter = honorRetryAfterHeader;
+    settings.useOverloadControl = policy == Policy::FairQueue;
+    const auto duringOverload = [](double second) {
+        return second >= OverloadStart && second < OverloadEnd;
     };
     const int slots = settings.slots;
     settings.loadAt = [=](double second) {
-        return within(second) ? spell.load : OrdinaryLoad;
+        return duringOverload(second) ? phase.load : BaselineLoad;
     };
     settings.slotsAt = [=](double second) {
-        return within(second) ? static_cast<int>(slots * spell.capacityPart) : slots;
+        return duringOverload(second) ? static_cast<int>(slots * phase.capacityShare) : slots;
     };
     std::vector<Load> loads(20);
     for (Load &load : loads) {
@@ -253,51 +253,51 @@
         load.cost = SmallRead;
     }
     const SimulationResult result = Simulation(settings, loads).run();
-    const double ordinary = goodput(result, 5, SpellFrom);
-    const double during = goodput(result, SpellFrom + 2, SpellTo);
+    const double baselineGoodput = goodput(result, 5, OverloadStart);
+    const double overloadGoodput = goodput(result, OverloadStart + 2, OverloadEnd);
     const auto secondsUntil = [](const auto &recovered) {
-        int second = SpellTo;
-        while (second < SpellEnd - 1 && !recovered(second)) {
+        int second = OverloadEnd;
+        while (second < RunEnd - 1 && !recovered(second)) {
             ++second;
         }
-        return second - SpellTo;
+        return second - OverloadEnd;
     };
-    const int full = secondsUntil([&](int second) {
-        return goodput(result, second, second + 1) >= RecoveredPart * ordinary;
+    const int fullGoodputAfter = secondsUntil([&](int second) {
+        return goodput(result, second, second + 1) >= RecoveredShare * baselineGoodput;
     });
-    const int calm = secondsUntil([&](int second) {
+    const int shortWaitsAfter = secondsUntil([&](int second) {
         return result.waits[static_cast<std::size_t>(second)] <= ShortWait;
     });
     json::object row;
-    row["spell"] = spell.name;
+    row["spell"] = phase.name;
     row["policy"] = fairnessmodel::toString(policy);
-    row["clients_heed_retry_after"] = heed;
-    row["goodput_of_capacity"] = during / (settings.slots * spell.capacityPart);
-    row["full_goodput_after_s"] = full;
-    row["short_waits_after_s"] = calm;
+    row["clients_heed_retry_after"] = honorRetryAfterHeader;
+    row["goodput_of_capacity"] = overloadGoodput / (settings.slots * phase.capacityShare);
+    row["full_goodput_after_s"] = fullGoodputAfter;
+    row["short_waits_after_s"] = shortWaitsAfter;
     return row;
 }
 
-json::array measureSpells()
+json::array measureOverloads()
 {
     std::printf("\nOverload for 20 s, 20 accounts, time limit 1 s, up to 3 retries of what was refused.\n");
     std::printf(
         "%-22s %-23s %-12s %10s %10s %12s\n", "spell", "policy", "clients", "goodput", "full after", "waits after");
-    const std::vector<Spell> spells {
+    const std::vector<OverloadPhase> phases {
         { "1x", 1, 1 },
         { "3x", 3, 1 },
-        { "half of the targets", OrdinaryLoad, 0.5 },
-        { "a quarter left", OrdinaryLoad, 0.25 },
+        { "half of the targets", BaselineLoad, 0.5 },
+        { "a quarter left", BaselineLoad, 0.25 },
     };
     json::array rows;
-    for (const Spell &spell : spells) {
+    for (const OverloadPhase &phase : phases) {
         for (const Policy policy : { Policy::FairQueue, Policy::FirstComeFirstServed }) {
-            for (const bool heed : { true, false }) {
-                const json::object row = measureSpell(spell, policy, heed);
+            for (const bool honorRetryAfterHeader : { true, false }) {
+                const json::object row = measureOverload(phase, policy, honorRetryAfterHeader);
                 std::printf("%-22s %-23s %-12s %10.3f %8d s %10d s\n",
-                            spell.name,
+                            phase.name,
                             fairnessmodel::toString(policy),
-                            heed ? "heed" : "impatient",
+                            honorRetryAfterHeader ? "heed" : "impatient",
                             row.at("goodput_of_capacity").as_double(),
                             static_cast<int>(row.at("full_goodput_after_s").as_int64()),
                             static_cast<int>(row.at("short_waits_after_s").as_int64()));
@@ -338,7 +338,7 @@
     return row;
 }
 
-json::array measureShares()
+json::array measureShareCosts()
 {
     std::printf("\nSharing out one service's limits, per member and second; demand everywhere, varying by a fifth.\n");
     std::printf("%8s %9s %10s %10s %15s\n", "members", "accounts", "core us", "reports", "accounts named");
@@ -371,9 +371,9 @@
     json::object result;
     result["sharing"] = compareAll();
     result["limits"] = compareLimits();
-    result["overload"] = measureSpells();
+    result["overload"] = measureOverloads();
     result["cost"] = measureCost();
-    result["shares"] = measureShares();
+    result["shares"] = measureShareCosts();
     if (argc == 3 && std::strcmp(argv[1], "--json") == 0) {
         std::ofstream(argv[2]) << json::serialize(result) << '\n';
     }
--- a/bench/fairnessmodel/limitmodel.h
+++ b/bench/fairnessmodel/limitmodel.h
@@ -12,17 +12,19 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// How one account's fleet-wide rate limit held while its demand moved.
+// How well one account's fleet-wide rate limit was kept while its demand moved. Rates and utilizations are
+// fractions of the limit.
 struct LimitOutcome {
-    double steadySum = 0; // the most that was admitted in any second of steady demand, as a part of the limit
-    double movingSum = 0; // the same in the seconds after demand moved
-    double steadyUse = 0; // admitted in steady demand spread over all proxies, as a part of the limit
-    double movedUse = 0; // admitted with all demand at one proxy, once settled, as a part of the limit
-    double settleSeconds = 0; // from the move until 95% of the limit were admitted
-    double reportsPerSecond = 0; // of one proxy
+    double maxSteadyRate = 0; // maximum admitted in one second of steady demand
+    double maxMovingRate = 0; // maximum admitted in one second after the demand moved
+    double steadyUtilization = 0; // mean admitted rate with steady demand at all proxies
+    double movedUtilization = 0; // mean admitted rate with all demand at one proxy, once settled
+    double settleSeconds = 0; // from the move until 95% of the limit is admitted
+    double reportsPerSecond = 0; // sent by one proxy
 };
 
-// Sends three times a rate limit: evenly to all proxies, then all to one. Reports take 2 ms.
+// Simulates demand of three times a rate limit: first evenly at all proxies, then at one only. Reports take 2 ms to
+// arrive.
 class LimitModel
 {
 public:
@@ -53,22 +55,22 @@
 
     LimitOutcome run()
     {
-        constexpr int SteadyFrom = 10;
+        constexpr int SteadyStart = 10;
         constexpr int Move = 30;
-        constexpr int SettledFrom = 40;
+        constexpr int SettledStart = 40;
         constexpr int End = 60;
         LimitOutcome outcome;
         std::vector<double> admitted;
         for (int second = 0; second < End; ++second) {
             admitted.push_back(runSecond(second >= Move) / m_limit);
-            if (second >= SteadyFrom && second < Move) {
-                outcome.steadySum = std::max(outcome.steadySum, admitted.back());
-                outcome.steadyUse += admitted.back() / (Move - SteadyFrom);
-            } else if (second >= Move && second < SettledFrom) {
-                outcome.movingSum = std::max(outcome.movingSum, admitted.back());
-            } else if (second >= SettledFrom) {
-                outcome.steadySum = std::max(outcome.steadySum, admitted.back());
-                outcome.movedUse += admitted.back() / (End - SettledFrom);
+            if (second >= SteadyStart && second < Move) {
+                outcome.maxSteadyRate = std::max(outcome.maxSteadyRate, admitted.back());
+                outcome.steadyUtilization += admitted.back() / (Move - SteadyStart);
+            } else if (second >= Move && second < SettledStart) {
+                outcome.maxMovingRate = std::max(outcome.maxMovingRate, admitted.back());
+            } else if (second >= SettledStart) {
+                outcome.maxSteadyRate = std::max(outcome.maxSteadyRate, admitted.back());
+                outcome.movedUtilization += admitted.back() / (End - SettledStart);
             }
         }
         while (outcome.settleSeconds < End - Move
@@ -83,8 +85,8 @@
 private:
     static constexpr double Overload = 3;
 
-    // Returns how many requests were admitted within one second.
-    double runSecond(bool toOne)
+    // Returns the number of requests admitted within one second.
+    double runSecond(bool toOneProxy)
     {
         double admitted = 0;
         std::exponential_distribution<double> gap(m_limit * Overload);
@@ -95,8 +97,8 @@
             for (; nextTick <= m_now; nextTick += Millis(50)) {
                 tick(nextTick);
             }
-            FairQueue &queue = *m_queues[toOne ? 0 : m_random() % m_queues.size()];
-            const RequestId id = ++m_last;
+            FairQueue &queue = *m_queues[toOneProxy ? 0 : m_random() % m_queues.size()];
+            const RequestId id = ++m_lastRequest;
             if (queue.enqueue(id, 0, 0, m_now + Seconds(10), m_now)) {
                 ++admitted;
                 queue.next(m_now);
@@ -131,7 +133,7 @@
     std::vector<std::unique_ptr<FleetShares>> m_shares;
     std::vector<std::unique_ptr<FairQueue>> m_queues;
     std::uint64_t m_reports = 0;
-    RequestId m_last = 0;
+    RequestId m_lastRequest = 0;
 };
 
 } // namespace mulberryplank::fairnessmodel
--- a/bench/fairnessmodel/requestcost.h
+++ b/bench/fairnessmodel/requestcost.h
@@ -12,11 +12,12 @@
 {
 
 struct RequestCost {
-    double nanoseconds = 0; // of processor time for one request: offered, started, finished
-    double bytesPerAccount = 0; // of an account that has sent requests and has none now
+    double nanoseconds = 0; // processor time for one request: offered, started, finished
+    double bytesPerAccount = 0; // of an account that has sent requests and has none in progress
 };
 
-// Takes requests of `accounts` accounts in random order through a scheduler that always has one of each waiting.
+// Measures a scheduler with requests of `accounts` accounts in random order. One request per account is enqueued before
+// the measurement, so that about `accounts` requests wait at any time.
 inline RequestCost measureRequestCost(Scheduler &scheduler, AccountIndex accounts, int rounds)
 {
     std::mt19937 random(1);
@@ -29,7 +30,7 @@
         offer(account);
     }
     std::deque<RequestId> running;
-    const auto began = std::chrono::steady_clock::now();
+    const auto startTime = std::chrono::steady_clock::now();
     const int requests = rounds * static_cast<int>(accounts);
     for (int request = 0; request < requests; ++request) {
         now += std::chrono::microseconds(10);
@@ -42,11 +43,11 @@
             running.pop_front();
         }
     }
-    const std::chrono::duration<double, std::nano> spent = std::chrono::steady_clock::now() - began;
-    return { spent.count() / requests, 0 };
+    const std::chrono::duration<double, std::nano> elapsed = std::chrono::steady_clock::now() - startTime;
+    return { elapsed.count() / requests, 0 };
 }
 
-// Returns the heap's growth for one account: added, used once, and at rest.
+// Returns the heap bytes per account, for accounts that have sent one request and are idle.
 inline double measureBytesPerAccount(AccountIndex accounts)
 {
     const std::size_t before = mallinfo2().uordblks;
--- a/bench/fairnessmodel/scheduler.h
+++ b/bench/fairnessmodel/scheduler.h
@@ -12,11 +12,11 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// The ways of sharing a service that are compared.
+// The scheduling policies that are compared.
 enum class Policy : std::uint8_t {
     FairQueue,
     FirstComeFirstServed,
-    StaticLimits, // each account's share, divided evenly over the proxies, and first come first served within it
+    StaticLimits, // each account's share, divided evenly over the proxies; first come first served within it
 };
 
 inline const char *toString(Policy policy)
@@ -86,7 +86,7 @@
     FairQueue queue;
 };
 
-// A bounded queue in order of arrival. Requests whose deadline has passed are dropped when their turn comes.
+// A bounded queue in order of arrival. Requests whose deadline has passed are dropped when they reach the head.
 class FifoScheduler : public Scheduler
 {
 public:
--- a/bench/fairnessmodel/sharecost.h
+++ b/bench/fairnessmodel/sharecost.h
@@ -11,18 +11,18 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// What sharing out the limits of one service costs one member.
+// The cost for one member of dividing the limits of one service among the members.
 struct ShareCost {
     double coreMicroseconds = 0; // of processor time per second
     double reports = 0; // sent per second, to each other member
-    double accountsPerSecond = 0; // named in those reports
+    double accountsPerSecond = 0; // listed in those reports
 };
 
-// Runs `members` members for a minute of virtual time. All of `accounts` accounts have a limit and demand everywhere,
-// which varies by a fifth from second to second.
+// Runs `members` members for a minute of virtual time. Each of the `accounts` accounts has a limit and demand at every
+// member. The demand varies by a fifth from second to second.
 inline ShareCost measureShareCost(std::size_t members, AccountIndex accounts)
 {
-    constexpr int Run = 60;
+    constexpr int RunSeconds = 60;
     Instant now = Instant {} + Seconds(1'000);
     std::mt19937 random(1);
     std::vector<VmName> names;
@@ -45,8 +45,8 @@
     }
     ShareCost cost;
     std::uniform_real_distribution<double> factor(0.9, 1.1);
-    const Instant end = now + Seconds(Run);
-    const auto began = std::chrono::steady_clock::now();
+    const Instant end = now + Seconds(RunSeconds);
+    const auto startTime = std::chrono::steady_clock::now();
     for (; now < end; now += Millis(50)) {
         for (std::size_t member = 0; member < members; ++member) {
             if (now < shares[member]->nextReport()) {
@@ -59,15 +59,16 @@
             }
             shares[member]->observe(demands);
             const DemandReport report = shares[member]->report(now);
-            cost.reports += 1.0 / Run / static_cast<double>(members);
-            cost.accountsPerSecond += static_cast<double>(report.accounts.size()) / Run / static_cast<double>(members);
+            cost.reports += 1.0 / RunSeconds / static_cast<double>(members);
+            cost.accountsPerSecond +=
+                static_cast<double>(report.accounts.size()) / RunSeconds / static_cast<double>(members);
             for (const auto &other : shares) {
                 other->merge(names[member], member + 1, report, now);
             }
         }
     }
-    const std::chrono::duration<double, std::micro> spent = std::chrono::steady_clock::now() - began;
-    cost.coreMicroseconds = spent.count() / Run / static_cast<double>(members);
+    const std::chrono::duration<double, std::micro> elapsed = std::chrono::steady_clock::now() - startTime;
+    cost.coreMicroseconds = elapsed.count() / RunSeconds / static_cast<double>(members);
     return cost;
 }
 
--- a/bench/fairnessmodel/simulation.h
+++ b/bench/fairnessmodel/simulation.h
@@ -16,7 +16,7 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// Clients, proxies with a scheduler each, and the targets of one service, on a virtual clock.
+// Simulates clients, proxies with one scheduler each, and the targets of one service, on a virtual clock.
 class Simulation
 {
 public:
@@ -25,11 +25,11 @@
         , m_loads(std::move(loads))
         , m_random(m_settings.seed)
     {
-        m_outcome.accounts.resize(m_loads.size());
-        m_outcome.goodput.resize(static_cast<std::size_t>(m_settings.seconds) + 1);
-        m_outcome.waits.resize(m_outcome.goodput.size());
+        m_result.accounts.resize(m_loads.size());
+        m_result.goodput.resize(static_cast<std::size_t>(m_settings.seconds) + 1);
+        m_result.waits.resize(m_result.goodput.size());
         m_used.resize(m_settings.proxies);
-        m_parts.assign(m_settings.proxies, 1.0 / static_cast<double>(m_settings.proxies));
+        m_capacityShares.assign(m_settings.proxies, 1.0 / static_cast<double>(m_settings.proxies));
         for (std::size_t proxy = 0; proxy < m_settings.proxies; ++proxy) {
             addProxy();
         }
@@ -50,12 +50,12 @@
             m_now = event.at;
             event.action();
         }
-        return std::move(m_outcome);
+        return std::move(m_result);
     }
 
 private:
     static constexpr double TickSeconds = 0.1;
-    static constexpr double LongestRead = 0.2; // mean slot-time in seconds; above, the route is another
+    static constexpr double MaxReadCost = 0.2; // mean slot-time in seconds; accounts above it use another route
     static constexpr double NetworkDelay = 0.002;
 
     struct Event {
@@ -148,12 +148,12 @@
         settings.totalQueue = m_settings.totalQueue;
         auto scheduler = std::make_unique<FairScheduler>(settings);
         FleetSharesSettings shareSettings;
-        shareSettings.self = name(proxy);
+        shareSettings.self = vmNameOf(proxy);
         shareSettings.incarnation = proxy + 1;
         auto shares = std::make_unique<FleetShares>(shareSettings, m_now);
         std::vector<VmName> members;
         for (std::size_t member = 0; member < m_settings.proxies; ++member) {
-            members.push_back(name(member));
+            members.push_back(vmNameOf(member));
         }
         shares->setMembers(members, m_now);
         for (std::size_t account = 0; account < m_loads.size(); ++account) {
@@ -169,7 +169,7 @@
         m_overload.emplace_back(OverloadSettings {});
     }
 
-    static VmName name(std::size_t proxy)
+    static VmName vmNameOf(std::size_t proxy)
     {
         return VmName("vm" + std::to_string(proxy));
     }
@@ -178,9 +178,9 @@
     {
         const Load &load = m_loads[account];
         const double factor = m_settings.loadAt ? m_settings.loadAt(second()) : 1;
-        const double part =
-            load.proxyParts.empty() ? 1 / static_cast<double>(m_settings.proxies) : load.proxyParts[proxy];
-        const double rate = load.slots / load.cost * part * factor;
+        const double proxyShare =
+            load.proxyShares.empty() ? 1 / static_cast<double>(m_settings.proxies) : load.proxyShares[proxy];
+        const double rate = load.slots / load.cost * proxyShare * factor;
         if (rate <= 0) {
             return;
         }
@@ -195,7 +195,7 @@
         const Load &load = m_loads[account];
         const double cost = load.fixedCost ? load.cost : exponential(load.cost);
         if (measured()) {
-            m_outcome.accounts[account].offered += cost / measuredSeconds();
+            m_result.accounts[account].offered += cost / measuredSeconds();
         }
         const Instant deadline = m_now + fromSeconds(m_settings.deadline);
         offer({ account, proxy, m_now, m_now, deadline, cost, m_settings.retries });
@@ -204,25 +204,26 @@
     void offer(const Request &request)
     {
         const RequestId id = ++m_lastRequest;
-        const auto route = static_cast<std::uint16_t>(m_loads[request.account].cost > LongestRead ? 1 : 0);
+        const auto route = static_cast<std::uint16_t>(m_loads[request.account].cost > MaxReadCost ? 1 : 0);
         const auto account = static_cast<AccountIndex>(request.account);
         if (m_schedulers[request.proxy]->offer(id, account, route, request.deadline, m_now)) {
             m_requests.emplace(id, request);
             dispatchAll();
         } else {
-            refused(request);
+            onRejected(request);
         }
     }
 
-    // A client whose request was not run comes back, with its full time anew, as an impatient one would.
-    void refused(Request request)
+    // A client whose request was not executed retries with a new, full deadline. This is the behavior of a client that
+    // doesn't limit its total time.
+    void onRejected(Request request)
     {
         if (request.retriesLeft == 0) {
             return;
         }
         --request.retriesLeft;
         double delay = m_settings.retryDelay;
-        if (m_settings.heedRetryAfter) {
+        if (m_settings.honorRetryAfter) {
             const auto account = static_cast<AccountIndex>(request.account);
             delay = std::max(delay, toSeconds(m_schedulers[request.proxy]->retryAfter(account, m_now)));
         }
@@ -238,33 +239,33 @@
         return m_usedTotal < slots();
     }
 
-    bool withinPart(std::size_t proxy) const
+    bool withinShare(std::size_t proxy) const
     {
-        return m_used[proxy] < m_parts[proxy] * slots();
+        return m_used[proxy] < m_capacityShares[proxy] * slots();
     }
 
-    // Proxies within their part of the slots take free ones first, the others what is left.
+    // Proxies that use less than their share of the slots take free slots first. The other proxies take the rest.
     void dispatchAll()
     {
-        const bool parts = m_settings.policy == Policy::FairQueue && m_settings.shareCapacity;
-        for (const bool withinOnly : { true, false }) {
-            if (withinOnly && !parts) {
+        const bool sharesCapacity = m_settings.policy == Policy::FairQueue && m_settings.shareCapacity;
+        for (const bool withinShareOnly : { true, false }) {
+            if (withinShareOnly && !sharesCapacity) {
                 continue;
             }
-            for (std::size_t turn = 0; turn < m_schedulers.size(); ++turn) {
-                dispatch((turn + m_nextProxy) % m_schedulers.size(), withinOnly);
+            for (std::size_t offset = 0; offset < m_schedulers.size(); ++offset) {
+                dispatch((offset + m_nextProxy) % m_schedulers.size(), withinShareOnly);
             }
         }
         m_nextProxy = (m_nextProxy + 1) % m_schedulers.size();
     }
 
-    void dispatch(std::size_t proxy, bool withinOnly)
+    void dispatch(std::size_t proxy, bool withinShareOnly)
     {
         Scheduler &scheduler = *m_schedulers[proxy];
         for (const RequestId id : scheduler.expired(m_now)) {
             shed(id);
         }
-        while (scheduler.waiting() > 0 && hasFreeSlot() && (!withinOnly || withinPart(proxy))) {
+        while (scheduler.waiting() > 0 && hasFreeSlot() && (!withinShareOnly || withinShare(proxy))) {
             const std::optional<RequestId> id = scheduler.next(m_now);
             if (!id) {
                 break;
@@ -277,7 +278,7 @@
     {
         const Request request = m_requests.at(id);
         m_requests.erase(id);
-        refused(request);
+        onRejected(request);
     }
 
     void begin(RequestId id)
@@ -287,45 +288,45 @@
         ++m_usedTotal;
         const double wait = toSeconds(m_now - request.arrived);
         if (measured()) {
-            m_outcome.accounts[request.account].waits.push_back(wait);
+            m_result.accounts[request.account].waits.push_back(wait);
         }
-        double &longest = m_outcome.waits[static_cast<std::size_t>(second())];
+        double &longest = m_result.waits[static_cast<std::size_t>(second())];
         longest = std::max(longest, wait);
-        const Instant began = m_now;
-        after(request.cost, [this, id, began] {
-            end(id, began);
+        const Instant startTime = m_now;
+        after(request.cost, [this, id, startTime] {
+            end(id, startTime);
         });
     }
 
-    void end(RequestId id, Instant began)
+    void end(RequestId id, Instant startTime)
     {
         const Request request = m_requests.at(id);
         m_requests.erase(id);
         --m_used[request.proxy];
         --m_usedTotal;
-        m_schedulers[request.proxy]->finished(id, m_now - began, m_now);
+        m_schedulers[request.proxy]->finished(id, m_now - startTime, m_now);
         const bool inTime = m_now <= request.deadline;
         if (inTime) {
-            m_outcome.goodput[static_cast<std::size_t>(second())] += request.cost;
+            m_result.goodput[static_cast<std::size_t>(second())] += request.cost;
         }
         if (measured() && inTime) {
-            AccountResult &result = m_outcome.accounts[request.account];
+            AccountResult &result = m_result.accounts[request.account];
             result.served += request.cost / measuredSeconds();
-            result.answers.push_back(toSeconds(m_now - request.arrived));
+            result.responseTimes.push_back(toSeconds(m_now - request.arrived));
         }
         dispatchAll();
     }
 
-    // What a proxy does by its clock: exchange reports, follow shares, bound the queue.
+    // The periodic work of the proxies: send reports, apply shares, bound the queue.
     void tick()
     {
         for (std::size_t proxy = 0; proxy < m_shares.size(); ++proxy) {
             report(proxy);
-            m_fairQueues[proxy]->setCapacity(m_parts[proxy] * slots());
-            if (m_settings.controlQueue) {
-                const double own = m_parts[proxy] * slots();
+            m_fairQueues[proxy]->setCapacity(m_capacityShares[proxy] * slots());
+            if (m_settings.useOverloadControl) {
+                const double ownSlots = m_capacityShares[proxy] * slots();
                 const Duration cost = m_fairQueues[proxy]->costModel().averageCost();
-                m_fairQueues[proxy]->setTotalQueue(m_overload[proxy].update(own, cost, m_now));
+                m_fairQueues[proxy]->setTotalQueue(m_overload[proxy].update(ownSlots, cost, m_now));
             }
         }
         dispatchAll();
@@ -343,15 +344,15 @@
         const std::vector<AccountDemand> demands = m_fairQueues[proxy]->takeDemand(m_now);
         shares.observe(demands);
         const DemandReport report = shares.report(m_now);
-        ++m_outcome.reports;
-        m_parts[proxy] = shares.capacityShare(slots());
+        ++m_result.reports;
+        m_capacityShares[proxy] = shares.capacityShare(slots());
         m_fairQueues[proxy]->setTypicalCost(shares.typicalCost());
         for (const AccountDemand &demand : demands) {
             m_fairQueues[proxy]->setLocalWeight(demand.account, shares.localWeight(demand.account));
         }
         after(NetworkDelay, [this, proxy, report] {
             for (std::size_t other = 0; other < m_shares.size(); ++other) {
-                m_shares[other]->merge(name(proxy), proxy + 1, report, m_now);
+                m_shares[other]->merge(vmNameOf(proxy), proxy + 1, report, m_now);
             }
         });
     }
@@ -359,7 +360,7 @@
     Settings m_settings;
     std::vector<Load> m_loads;
     std::mt19937_64 m_random;
-    SimulationResult m_outcome;
+    SimulationResult m_result;
     Instant m_now = start();
     std::priority_queue<Event> m_events;
     std::uint64_t m_order = 0;
@@ -368,7 +369,7 @@
     std::vector<std::unique_ptr<FleetShares>> m_shares;
     std::vector<OverloadControl> m_overload;
     std::vector<int> m_used; // slots by proxy
-    std::vector<double> m_parts; // of the slots by proxy
+    std::vector<double> m_capacityShares; // of the slots by proxy
     int m_usedTotal = 0;
     std::size_t m_nextProxy = 0;
     RequestId m_lastRequest = 0;
--- a/bench/health.cpp
+++ b/bench/health.cpp
@@ -1,9 +1,9 @@
-// Measures the judgement of targets on a virtual clock: for every kind of fault, setting and simpler detector the time
-// until a sick target is out of service at every proxy, and the requests that it hurt meanwhile; and over a day of
-// healthy traffic of every service the healthy targets that were taken out.
+// Measures the health detection of targets on a virtual clock. For every kind of fault, detection setting and baseline
+// detector it reports the time until a faulty target is out of service at every proxy, and the requests harmed
+// until then. For a day of healthy traffic of every service it reports the healthy targets that were ejected.
 //
-// bench-health [--quick] [--faults N] [--json FILE], or bench-health --search N; --faults N: only the faults, N runs of
-// each
+// bench-health [--quick] [--faults N] [--json FILE], or bench-health --search N
+// --faults N runs only the faults, N runs of each.
 
 #include <atomic>
 #include <chrono>
@@ -14,9 +14,9 @@
 
 #include <boost/json.hpp>
 
+#include "healthmodel/healthsimulation.h"
 #include "healthmodel/search.h"
 #include "healthmodel/summary.h"
-#include "healthmodel/world.h"
 
 using namespace healthmodel;
 
@@ -27,15 +27,15 @@
 constexpr std::uint64_t FirstSeed = 1'000;
 
 struct Plan {
-    int runsOfOurs = 60; // per kind of fault and setting
-    int runsOfBaselines = 20;
+    int runsPerSetting = 60; // per kind of fault and setting
+    int runsPerBaseline = 20;
     double healthyHours = 24; // per service
-    int healthyParts = 3; // runs that share these hours, for the threads' sake
+    int healthyRuns = 3; // runs that share these hours, so that they run in parallel
 };
 
 struct Run {
-    WorldSettings settings;
-    WorldResult result;
+    HealthSimulationSettings settings;
+    HealthSimulationResult result;
 };
 
 const ServiceModel &pressdesk()
@@ -48,27 +48,27 @@
 {
     std::vector<Run> runs;
     for (const ServiceModel &service : servicesOfBothRegions()) {
-        for (int part = 0; part < plan.healthyParts; ++part) {
+        for (int part = 0; part < plan.healthyRuns; ++part) {
             Run run;
             run.settings.service = service;
-            // The most cautious one ejects least, so that nearly all excursions of suspicion are seen at full height.
-            run.settings.judge = JudgeKind::Cautious;
-            run.settings.shadows = { JudgeKind::ConsecutiveErrors, JudgeKind::LatencyOutlier };
+            // The most cautious setting ejects least, so nearly all excursions of suspicion reach their full height.
+            run.settings.detector = FaultDetectorKind::Cautious;
+            run.settings.shadows = { FaultDetectorKind::ConsecutiveErrors, FaultDetectorKind::LatencyOutlier };
             run.settings.seed = FirstSeed + static_cast<std::uint64_t>(part);
-            run.settings.length = fromSeconds(plan.healthyHours * 3'600 / plan.healthyParts);
+            run.settings.length = fromSeconds(plan.healthyHours * 3'600 / plan.healthyRuns);
             run.settings.firstDeploy = Seconds { 1'000 };
             runs.push_back(std::move(run));
         }
     }
     for (std::size_t kind = 1; kind < FaultNames.size(); ++kind) {
-        for (std::size_t judge = 0; judge < JudgeNames.size(); ++judge) {
-            const int count =
-                judge <= static_cast<std::size_t>(JudgeKind::Cautious) ? plan.runsOfOurs : plan.runsOfBaselines;
+        for (std::size_t detector = 0; detector < FaultDetectorNames.size(); ++detector) {
+            const int count = detector <= static_cast<std::size_t>(FaultDetectorKind::Cautious) ? plan.runsPerSetting
+                                                                                                : plan.runsPerBaseline;
             for (int index = 0; index < count; ++index) {
                 Run run;
                 run.settings.service = pressdesk();
                 run.settings.fault = faultOf(static_cast<FaultKind>(kind), pressdesk().targets);
-                run.settings.judge = static_cast<JudgeKind>(judge);
+                run.settings.detector = static_cast<FaultDetectorKind>(detector);
                 run.settings.seed = FirstSeed + static_cast<std::uint64_t>(index);
                 if (run.settings.fault.kind == FaultKind::HalfInDeploy) {
                     run.settings.firstDeploy = run.settings.fault.onset;
@@ -87,7 +87,7 @@
     for (unsigned index = 0; index < Threads; ++index) {
         threads.emplace_back([&] {
             for (std::size_t run = next++; run < runs.size(); run = next++) {
-                runs[run].result = World(runs[run].settings).run();
+                runs[run].result = HealthSimulation(runs[run].settings).run();
             }
         });
     }
@@ -110,11 +110,11 @@
                 "false",
                 "floor");
     for (std::size_t kind = 1; kind < FaultNames.size(); ++kind) {
-        for (std::size_t judge = 0; judge < JudgeNames.size(); ++judge) {
+        for (std::size_t detector = 0; detector < FaultDetectorNames.size(); ++detector) {
             FaultSummary summary;
             for (const Run &run : runs) {
                 const bool same = run.settings.fault.kind == static_cast<FaultKind>(kind)
-                                  && run.settings.judge == static_cast<JudgeKind>(judge);
+                                  && run.settings.detector == static_cast<FaultDetectorKind>(detector);
                 if (same) {
                     summary.add(run.result);
                 }
@@ -122,8 +122,8 @@
             if (summary.isEmpty()) {
                 continue;
             }
-            summary.print(FaultNames.at(kind), JudgeNames.at(judge));
-            rows.push_back(summary.toJson(FaultNames.at(kind), JudgeNames.at(judge)));
+            summary.print(FaultNames.at(kind), FaultDetectorNames.at(detector));
+            rows.push_back(summary.toJson(FaultNames.at(kind), FaultDetectorNames.at(detector)));
         }
     }
     return rows;
@@ -142,18 +142,20 @@
     return summary.toJson();
 }
 
-// Returns the decisive suspicion that ejects, for each setting, with as many proxies as the model has.
+// Returns, for each setting, the decisive suspicion at which a target is ejected, with the simulation's number of
+// proxies.
 boost::json::object thresholds()
 {
     boost::json::object result;
-    for (const JudgeKind kind : { JudgeKind::Fast, JudgeKind::Balanced, JudgeKind::Cautious }) {
-        JudgeSettings settings;
+    for (const FaultDetectorKind kind :
+         { FaultDetectorKind::Fast, FaultDetectorKind::Balanced, FaultDetectorKind::Cautious }) {
+        FaultDetectorSettings settings;
         settings.targets = 1;
         for (std::uint64_t index = 1; index < Proxies; ++index) {
             settings.peers.push_back({ VmName { std::to_string(index) }, index });
         }
-        OurJudge judge(kind, settings);
-        result[JudgeNames.at(static_cast<std::size_t>(kind))] = judge.health()->views().front().threshold;
+        ServiceHealthDetector detector(kind, settings);
+        result[FaultDetectorNames.at(static_cast<std::size_t>(kind))] = detector.health()->views().front().threshold;
     }
     return result;
 }
@@ -163,7 +165,7 @@
     const std::vector<SearchResult> worst = searchWorst(tries, FirstSeed, Threads);
     for (const SearchResult &result : worst) {
         std::printf("hurt %.1f%% of requests to it, out after %s s: %s\n",
-                    100 * result.hurtShare,
+                    100 * result.harmedShare,
                     result.detection < 0 ? "more than 75" : std::to_string(result.detection).c_str(),
                     describe(result.fault).c_str());
     }
@@ -200,7 +202,7 @@
     document["proxies"] = Proxies;
     document["thresholds"] = thresholds();
     document["faults"] = summarizeFaults(runs);
-    if (plan.healthyParts > 0) {
+    if (plan.healthyRuns > 0) {
         document["healthy"] = summarizeHealthy(runs);
     }
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
--- a/bench/healthcost.cpp
+++ b/bench/healthcost.cpp
@@ -1,4 +1,4 @@
-// What the judgement of targets costs a proxy: per request, per decision, and per service and tick.
+// Measures the cost of health detection for a proxy: per request, per decision, and per service and tick.
 
 #include <random>
 
@@ -12,7 +12,7 @@
 
 using namespace mulberryplank;
 
-// 58,000 targets in 3,500 services.
+// The mean of 58,000 targets in 3,500 services.
 constexpr std::size_t Targets = 17;
 constexpr std::size_t Peers = 5;
 
@@ -21,7 +21,7 @@
     return { VmName { "vm" + std::to_string(index) }, index + 1 };
 }
 
-// A proxy's view of one service, with peers that report and some traffic behind it.
+// The health state of one service at a proxy, after some traffic and a report from each peer.
 struct Setup {
     Setup()
         : health({ peer(0), Detection::Fast, 0.5, 1, 4 }, 1)
--- a/bench/healthmodel/judge.h
+++ b/bench/healthmodel/faultdetector.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The detectors that are compared: ours, and two simple ones that look at one proxy's traffic only.
+// The detectors that are compared: ServiceHealth, and two baselines that use the traffic of one proxy only.
 
 #include <algorithm>
 #include <memory>
@@ -15,7 +15,7 @@
 
 using namespace mulberryplank;
 
-enum class JudgeKind : std::uint8_t {
+enum class FaultDetectorKind : std::uint8_t {
     Fast,
     Balanced,
     Cautious,
@@ -23,27 +23,27 @@
     LatencyOutlier,
 };
 
-inline constexpr std::array<std::string_view, 5> JudgeNames {
+inline constexpr std::array<std::string_view, 5> FaultDetectorNames {
     "fast", "balanced", "cautious", "consecutive-errors", "latency-outlier"
 };
 
-struct JudgeSettings {
+struct FaultDetectorSettings {
     PeerId self;
     std::vector<PeerId> peers;
     std::size_t targets = 0;
     double floorShare = 0.5;
     std::uint64_t seed = 0;
-    bool decides = true; // false: only watches
+    bool active = true; // false: a shadow that observes the traffic and doesn't affect it
 };
 
-// One proxy's opinion of one service's targets.
-class Judge
+// Detects the faulty targets of one service at one proxy.
+class FaultDetector
 {
 public:
-    Judge() = default;
-    virtual ~Judge() = default;
-    Judge(const Judge &) = delete;
-    Judge &operator=(const Judge &) = delete;
+    FaultDetector() = default;
+    virtual ~FaultDetector() = default;
+    FaultDetector(const FaultDetector &) = delete;
+    FaultDetector &operator=(const FaultDetector &) = delete;
 
     virtual void observe(const Attempt &attempt, Instant now) = 0;
     virtual void observeOutstanding(TargetIndex target, Duration oldestAge, std::uint32_t waiting, Instant now) = 0;
@@ -51,31 +51,31 @@
     virtual TargetPhase phase(TargetIndex target) const = 0;
     virtual double weight(TargetIndex target) const = 0;
     virtual Duration expectedLatency(TargetIndex target) const = 0;
-    // The target is about to be replaced: it takes no new work.
+    // Marks the target as about to be replaced: it receives no new requests.
     virtual void setLeaving(TargetIndex)
     {
     }
-    // A new target stands in this one's place, cold.
+    // Replaces the target at this position by a new one, which is cold.
     virtual void replace(TargetIndex, Instant)
     {
     }
-    // Ours only.
+    // Returns the detector's ServiceHealth, or nullptr for the baselines.
     virtual ServiceHealth *health()
     {
         return nullptr;
     }
 };
 
-class OurJudge : public Judge
+class ServiceHealthDetector : public FaultDetector
 {
 public:
-    OurJudge(JudgeKind kind, const JudgeSettings &settings)
+    ServiceHealthDetector(FaultDetectorKind kind, const FaultDetectorSettings &settings)
         : m_health({ settings.self, static_cast<Detection>(kind), settings.floorShare, 1, 4 }, settings.seed)
         , m_indices(settings.targets)
         , m_generations(settings.targets)
     {
-        for (std::size_t place = 0; place < settings.targets; ++place) {
-            add(place, Instant {});
+        for (std::size_t position = 0; position < settings.targets; ++position) {
+            add(position, Instant {});
         }
         m_health.setPeers(settings.peers, Instant {});
     }
@@ -87,9 +87,9 @@
         m_health.observe(mapped, now);
     }
 
-    void observeOutstanding(TargetIndex place, Duration oldestAge, std::uint32_t waiting, Instant now) override
+    void observeOutstanding(TargetIndex position, Duration oldestAge, std::uint32_t waiting, Instant now) override
     {
-        m_health.observeOutstanding(m_indices[place], oldestAge, now, waiting);
+        m_health.observeOutstanding(m_indices[position], oldestAge, now, waiting);
     }
 
     void tick(Instant now) override
@@ -97,31 +97,31 @@
         m_health.tick(now);
     }
 
-    TargetPhase phase(TargetIndex place) const override
+    TargetPhase phase(TargetIndex position) const override
     {
-        return m_health.phase(m_indices[place]);
+        return m_health.phase(m_indices[position]);
     }
 
-    double weight(TargetIndex place) const override
+    double weight(TargetIndex position) const override
     {
-        return m_health.weight(m_indices[place]);
+        return m_health.weight(m_indices[position]);
     }
 
-    Duration expectedLatency(TargetIndex place) const override
+    Duration expectedLatency(TargetIndex position) const override
     {
-        return m_health.expectedLatency(m_indices[place]);
+        return m_health.expectedLatency(m_indices[position]);
     }
 
-    void setLeaving(TargetIndex place) override
+    void setLeaving(TargetIndex position) override
     {
-        m_health.setLeaving(m_indices[place], true);
+        m_health.setLeaving(m_indices[position], true);
     }
 
-    void replace(TargetIndex place, Instant now) override
+    void replace(TargetIndex position, Instant now) override
     {
-        m_health.removeTarget(m_indices[place]);
-        ++m_generations[place];
-        add(place, now);
+        m_health.removeTarget(m_indices[position]);
+        ++m_generations[position];
+        add(position, now);
     }
 
     ServiceHealth *health() override
@@ -130,26 +130,26 @@
     }
 
 private:
-    void add(std::size_t place, Instant now)
+    void add(std::size_t position, Instant now)
     {
-        const std::string name = "t" + std::to_string(place) + "." + std::to_string(m_generations[place]);
-        m_indices[place] = m_health.addTarget(TargetName { name }, FailureDomain {}, now);
+        const std::string name = "t" + std::to_string(position) + "." + std::to_string(m_generations[position]);
+        m_indices[position] = m_health.addTarget(TargetName { name }, FailureDomain {}, now);
     }
 
     ServiceHealth m_health;
-    std::vector<TargetIndex> m_indices; // per place
-    std::vector<int> m_generations; // per place
+    std::vector<TargetIndex> m_indices; // per position
+    std::vector<int> m_generations; // per position
 };
 
-// What both simple detectors share: ejection of up to half of the targets for a time that grows by a fixed step, then
-// full traffic again.
-class SimpleJudge : public Judge
+// Common base of the two baseline detectors. Ejects up to half of the targets, as the floor allows, for a time that
+// grows by a fixed step with each ejection. A target gets full traffic again afterwards.
+class BaselineDetector : public FaultDetector
 {
 public:
-    explicit SimpleJudge(const JudgeSettings &settings)
+    explicit BaselineDetector(const FaultDetectorSettings &settings)
         : m_targets(settings.targets)
-        , m_budget(settings.targets - floorOf(settings.targets, settings.floorShare, 1))
-        , m_decides(settings.decides)
+        , m_maxEjected(settings.targets - floorOf(settings.targets, settings.floorShare, 1))
+        , m_active(settings.active)
         , m_latency(1)
     {
         for (std::size_t index = 0; index < settings.targets; ++index) {
@@ -163,18 +163,18 @@
 
     void observe(const Attempt &attempt, Instant now) override
     {
-        if (m_decides) {
+        if (m_active) {
             m_latency.observe(attempt, now, true);
         }
     }
 
     void tick(Instant now) override
     {
-        if (m_decides) {
+        if (m_active) {
             m_latency.tick(now);
         }
         for (Target &target : m_targets) {
-            target.ejected = target.ejected && now < target.until;
+            target.ejected = target.ejected && now < target.ejectedUntil;
         }
     }
 
@@ -200,18 +200,18 @@
             static_cast<std::size_t>(std::count_if(m_targets.begin(), m_targets.end(), [](const Target &target) {
                 return target.ejected;
             }));
-        if (ejected < m_budget && !m_targets[index].ejected) {
-            ++m_targets[index].times;
+        if (ejected < m_maxEjected && !m_targets[index].ejected) {
+            ++m_targets[index].ejections;
             m_targets[index].ejected = true;
-            m_targets[index].until = now + Seconds { 30 } * m_targets[index].times;
+            m_targets[index].ejectedUntil = now + Seconds { 30 } * m_targets[index].ejections;
         }
     }
 
     struct Target {
         bool ejected = false;
-        Instant until {};
-        int times = 0;
-        int errorsInARow = 0;
+        Instant ejectedUntil {};
+        int ejections = 0;
+        int consecutiveErrors = 0;
         double latencySum = 0;
         int count = 0;
     };
@@ -219,41 +219,41 @@
     std::vector<Target> m_targets;
 
 private:
-    std::size_t m_budget;
-    bool m_decides;
-    Detector m_latency; // only for expectedLatency(), so that the choice of target is the same for all
+    std::size_t m_maxEjected;
+    bool m_active;
+    Detector m_latency; // only for expectedLatency(), so that all detectors choose targets alike
 };
 
-class ConsecutiveErrorsJudge : public SimpleJudge
+class ConsecutiveErrorsDetector : public BaselineDetector
 {
 public:
-    using SimpleJudge::SimpleJudge;
+    using BaselineDetector::BaselineDetector;
 
     void observe(const Attempt &attempt, Instant now) override
     {
-        SimpleJudge::observe(attempt, now);
-        constexpr int MostInARow = 5;
+        BaselineDetector::observe(attempt, now);
+        constexpr int ErrorsToEject = 5;
         Target &target = m_targets[attempt.target];
         if (attempt.result == AttemptResult::Success) {
-            target.errorsInARow = 0;
+            target.consecutiveErrors = 0;
         } else if (attempt.result != AttemptResult::Shed && attempt.result != AttemptResult::Cancelled) {
-            ++target.errorsInARow;
+            ++target.consecutiveErrors;
         }
-        if (target.errorsInARow >= MostInARow) {
-            target.errorsInARow = 0;
+        if (target.consecutiveErrors >= ErrorsToEject) {
+            target.consecutiveErrors = 0;
             eject(attempt.target, now);
         }
     }
 };
 
-class LatencyOutlierJudge : public SimpleJudge
+class LatencyOutlierDetector : public BaselineDetector
 {
 public:
-    using SimpleJudge::SimpleJudge;
+    using BaselineDetector::BaselineDetector;
 
     void observe(const Attempt &attempt, Instant now) override
     {
-        SimpleJudge::observe(attempt, now);
+        BaselineDetector::observe(attempt, now);
         if (attempt.result != AttemptResult::Shed && attempt.result != AttemptResult::Cancelled) {
             m_targets[attempt.target].latencySum += toSeconds(attempt.latency);
             ++m_targets[attempt.target].count;
@@ -262,11 +262,11 @@
 
     void tick(Instant now) override
     {
-        SimpleJudge::tick(now);
-        if (now - m_since < Interval) {
+        BaselineDetector::tick(now);
+        if (now - m_intervalStart < Interval) {
             return;
         }
-        m_since = now;
+        m_intervalStart = now;
         double sum = 0;
         int count = 0;
         for (const Target &target : m_targets) {
@@ -275,8 +275,8 @@
         }
         for (TargetIndex index = 0; index < m_targets.size(); ++index) {
             Target &target = m_targets[index];
-            const double others = (sum - target.latencySum) / std::max(1, count - target.count);
-            if (target.count >= LeastCount && target.latencySum / target.count > MostRatio * others) {
+            const double meanOfOthers = (sum - target.latencySum) / std::max(1, count - target.count);
+            if (target.count >= MinCount && target.latencySum / target.count > MaxRatio * meanOfOthers) {
                 eject(index, now);
             }
         }
@@ -288,21 +288,21 @@
 
 private:
     static constexpr Duration Interval = Seconds { 10 };
-    static constexpr int LeastCount = 20;
-    static constexpr double MostRatio = 3;
+    static constexpr int MinCount = 20;
+    static constexpr double MaxRatio = 3;
 
-    Instant m_since {};
+    Instant m_intervalStart {};
 };
 
-inline std::unique_ptr<Judge> makeJudge(JudgeKind kind, const JudgeSettings &settings)
+inline std::unique_ptr<FaultDetector> makeFaultDetector(FaultDetectorKind kind, const FaultDetectorSettings &settings)
 {
     switch (kind) {
-    case JudgeKind::ConsecutiveErrors:
-        return std::make_unique<ConsecutiveErrorsJudge>(settings);
-    case JudgeKind::LatencyOutlier:
-        return std::make_unique<LatencyOutlierJudge>(settings);
+    case FaultDetectorKind::ConsecutiveErrors:
+        return std::make_unique<ConsecutiveErrorsDetector>(settings);
+    case FaultDetectorKind::LatencyOutlier:
+        return std::make_unique<LatencyOutlierDetector>(settings);
     default:
-        return std::make_unique<OurJudge>(kind, settings);
+        return std::make_unique<ServiceHealthDetector>(kind, settings);
     }
 }
 
--- a/bench/healthmodel/world.h
+++ b/bench/healthmodel/healthsimulation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One service on a virtual clock: scripted targets with 4 slots, and proxies that choose among them by the policy
-// objects of the product.
+// Simulates one service on a virtual clock: scripted targets with 4 slots, and proxies that select targets with the
+// policy classes of the product.
 
 #include <cmath>
 #include <functional>
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "judge.h"
+#include "faultdetector.h"
 #include "mulberryplank/policy/concurrencylimit.h"
 #include "mulberryplank/policy/targetchooser.h"
 #include "scenario.h"
@@ -20,39 +20,39 @@
 inline constexpr std::size_t Proxies = 6;
 inline constexpr std::uint32_t Slots = 4;
 
-struct WorldSettings {
+struct HealthSimulationSettings {
     ServiceModel service;
     Fault fault;
-    JudgeKind judge = JudgeKind::Fast;
-    std::vector<JudgeKind> shadows; // judge the same traffic without effect
+    FaultDetectorKind detector = FaultDetectorKind::Fast;
+    std::vector<FaultDetectorKind> shadows; // detectors that observe the same traffic without effect
     std::uint64_t seed = 1;
     Duration length = Seconds { 100 };
-    double wavePeriod = 300; // seconds; load swings by half
+    double wavePeriod = 300; // seconds; the load varies by half around its mean
     double reportLoss = 0.01;
-    Duration firstDeploy = Seconds { 1'000'000 }; // replaces every target, one after the other
+    Duration firstDeploy = Seconds { 1'000'000 }; // replaces the targets one by one
     Duration deployEvery = Seconds { 21'600 };
-    // Called for each event of the judges that decide, with the seconds since the start; may be empty.
+    // Called for each event of the active detectors, with the seconds since the start. May be empty.
     std::function<void(double, std::size_t proxy, const HealthEvent &)> onEvent = {};
 };
 
-struct WorldResult {
+struct HealthSimulationResult {
     double requests = 0;
-    double hurt = 0; // by the fault
-    double hurtByTrial = 0; // of these, on trial
-    double unserved = 0; // no target had room
+    double harmed = 0; // by the fault
+    double harmedOnTrial = 0; // of these, by targets on trial
+    double unserved = 0; // no target could take the request
     double sheds = 0;
-    std::vector<double> detection; // seconds from onset, per sick target; negative if it kept traffic
-    double floorViolations = 0; // ticks with too few targets left in the union of all views
+    std::vector<double> detection; // seconds from onset, per target with a fault; negative if a proxy never detected it
+    double floorViolations = 0; // ticks with too few targets left in the union of all proxies' views
     double falseEjections = 0; // of a healthy target, by any proxy; counted once a minute and target
     double allSlowEvents = 0;
     std::vector<double> shadowFalseEjections;
     std::vector<double> peaks; // highest decisive suspicion, per excursion of a healthy target
 };
 
-class World
+class HealthSimulation
 {
 public:
-    explicit World(WorldSettings settings)
+    explicit HealthSimulation(HealthSimulationSettings settings)
         : m_settings(std::move(settings))
         , m_random(m_settings.seed)
         , m_targets(m_settings.service.targets)
@@ -60,8 +60,8 @@
         std::uniform_real_distribution<double> speed(0.9, 1.1);
         for (std::size_t index = 0; index < m_targets.size(); ++index) {
             m_targets[index].speed = speed(m_random);
-            m_targets[index].sick = index < m_settings.fault.sickTargets;
-            m_targets[index].wasSick = m_targets[index].sick;
+            m_targets[index].hasFault = index < m_settings.fault.faultyTargets;
+            m_targets[index].hadFault = m_targets[index].hasFault;
         }
         std::vector<PeerId> all;
         for (std::size_t index = 0; index < Proxies; ++index) {
@@ -73,38 +73,38 @@
             proxy.id = all[index];
             std::vector<PeerId> peers = all;
             peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(index));
-            JudgeSettings judge {
+            FaultDetectorSettings detector {
                 all[index], peers, m_targets.size(), m_settings.service.floorShare, m_settings.seed * 31 + index
             };
-            proxy.judge = makeJudge(m_settings.judge, judge);
-            judge.decides = false;
-            for (const JudgeKind kind : m_settings.shadows) {
-                proxy.shadows.push_back(makeJudge(kind, judge));
+            proxy.detector = makeFaultDetector(m_settings.detector, detector);
+            detector.active = false;
+            for (const FaultDetectorKind kind : m_settings.shadows) {
+                proxy.shadows.push_back(makeFaultDetector(kind, detector));
             }
             for (std::size_t target = 0; target < m_targets.size(); ++target) {
                 proxy.limits.emplace_back(maxInFlight(Slots, Proxies));
             }
-            proxy.waiting.resize(m_targets.size());
+            proxy.startTimes.resize(m_targets.size());
             proxy.loads.resize(m_targets.size());
             proxy.detectedAt.assign(m_targets.size(), -1);
         }
-        m_lastFalse.resize((1 + m_settings.shadows.size()) * m_targets.size(), -1e9);
-        m_peak.resize(m_targets.size());
+        m_lastFalseEjection.resize((1 + m_settings.shadows.size()) * m_targets.size(), -1e9);
+        m_currentPeak.resize(m_targets.size());
         m_result.shadowFalseEjections.resize(m_settings.shadows.size());
     }
 
-    WorldResult run()
+    HealthSimulationResult run()
     {
         for (std::size_t index = 0; index < Proxies; ++index) {
             push(Millis { 100 } + Millis { 16 } * index, Kind::Tick, static_cast<std::uint32_t>(index));
         }
         push(Millis { 1 }, Kind::Arrival, 0);
         for (std::uint32_t index = 0; index < m_targets.size(); ++index) {
-            push(pauseGap(), Kind::Pause, index);
+            push(nextPauseTime(), Kind::Pause, index);
             push(m_settings.firstDeploy + DeployStep * index, Kind::Leave, index);
         }
         while (!m_events.empty() && m_events.top().at < m_settings.length) {
-            const Happening event = m_events.top();
+            const SimulationEvent event = m_events.top();
             m_events.pop();
             m_now = event.at;
             handle(event);
@@ -124,12 +124,12 @@
         Replace,
     };
 
-    struct Happening {
+    struct SimulationEvent {
         Duration at {};
-        std::uint32_t what = 0;
+        std::uint32_t argument = 0;
         Kind kind = Kind::Arrival;
 
-        bool operator<(const Happening &other) const
+        bool operator<(const SimulationEvent &other) const
         {
             return at > other.at;
         }
@@ -152,10 +152,10 @@
 
     struct Proxy {
         PeerId id;
-        std::unique_ptr<Judge> judge;
-        std::vector<std::unique_ptr<Judge>> shadows;
+        std::unique_ptr<FaultDetector> detector;
+        std::vector<std::unique_ptr<FaultDetector>> shadows;
         std::vector<ConcurrencyLimit> limits;
-        std::vector<std::vector<Duration>> waiting; // start of each request under way, per target
+        std::vector<std::vector<Duration>> startTimes; // start of each request in flight, per target
         std::vector<Load> loads;
         std::vector<double> detectedAt;
         Duration lastReport = Seconds { -10 };
@@ -163,9 +163,9 @@
 
     struct Target {
         double speed = 1;
-        bool sick = false;
-        bool wasSick = false;
-        std::uint32_t busy = 0;
+        bool hasFault = false;
+        bool hadFault = false;
+        std::uint32_t busySlots = 0;
         Duration pausedUntil {};
         Duration coldUntil {};
         bool leaving = false;
@@ -187,9 +187,9 @@
         return Instant {} + at;
     }
 
-    void push(Duration at, Kind kind, std::uint32_t what)
+    void push(Duration at, Kind kind, std::uint32_t argument)
     {
-        m_events.push({ at, what, kind });
+        m_events.push({ at, argument, kind });
     }
 
     double uniform()
@@ -197,37 +197,37 @@
         return std::generate_canonical<double, 53>(m_random);
     }
 
-    Duration pauseGap()
+    Duration nextPauseTime()
     {
         constexpr double MeanSeconds = 600;
         return m_now + fromSeconds(-std::log(1 - uniform()) * MeanSeconds);
     }
 
-    void handle(const Happening &event)
+    void handle(const SimulationEvent &event)
     {
         switch (event.kind) {
         case Kind::Arrival:
             arrive();
             break;
         case Kind::Done:
-            done(event.what);
+            done(event.argument);
             break;
         case Kind::Tick:
-            tick(event.what);
+            tick(event.argument);
             break;
         case Kind::Report:
-            receive(event.what);
+            receive(event.argument);
             break;
         case Kind::Pause:
-            // A pause of the whole process, as by garbage collection: part of healthy life.
-            m_targets[event.what].pausedUntil = m_now + fromSeconds(0.1 + 0.3 * uniform());
-            push(pauseGap(), Kind::Pause, event.what);
+            // A pause of the whole process, for instance by garbage collection. It occurs in healthy targets too.
+            m_targets[event.argument].pausedUntil = m_now + fromSeconds(0.1 + 0.3 * uniform());
+            push(nextPauseTime(), Kind::Pause, event.argument);
             break;
         case Kind::Leave:
-            leave(event.what);
+            leave(event.argument);
             break;
         case Kind::Replace:
-            replace(event.what);
+            replace(event.argument);
             break;
         }
     }
@@ -236,7 +236,7 @@
     {
         m_targets[index].leaving = true;
         for (Proxy &proxy : m_proxies) {
-            proxy.judge->setLeaving(index);
+            proxy.detector->setLeaving(index);
         }
         push(m_now + DrainTime, Kind::Replace, index);
         push(m_now + m_settings.deployEvery, Kind::Leave, index);
@@ -245,10 +245,10 @@
     void replace(std::uint32_t index)
     {
         m_targets[index].leaving = false;
-        m_targets[index].sick = false;
+        m_targets[index].hasFault = false;
         m_targets[index].coldUntil = m_now + ColdTime;
         for (Proxy &proxy : m_proxies) {
-            proxy.judge->replace(index, instant(m_now));
+            proxy.detector->replace(index, instant(m_now));
             for (const auto &shadow : proxy.shadows) {
                 shadow->replace(index, instant(m_now));
             }
@@ -261,7 +261,8 @@
         const double rate = m_settings.service.requestsPerSecond * wave;
         push(m_now + fromSeconds(-std::log(1 - uniform()) / rate), Kind::Arrival, 0);
         ++m_result.requests;
-        // Callers aren't spread evenly: the busiest proxy gets about three times the traffic of the idlest.
+        // Callers aren't evenly distributed: the most loaded proxy gets about three times the traffic of the
+        // least loaded one.
         const double pick = uniform();
         const auto proxy = static_cast<std::uint32_t>(std::pow(pick, 1.5) * Proxies);
         double route = uniform();
@@ -279,14 +280,14 @@
         m_views.clear();
         for (std::uint32_t index = 0; index < m_targets.size(); ++index) {
             m_views.push_back({ index,
-                                proxy.judge->weight(index),
-                                proxy.judge->phase(index),
-                                static_cast<std::uint32_t>(proxy.waiting[index].size()),
+                                proxy.detector->weight(index),
+                                proxy.detector->phase(index),
+                                static_cast<std::uint32_t>(proxy.startTimes[index].size()),
                                 proxy.limits[index].limit(instant(m_now)),
                                 proxy.loads[index].reported,
                                 m_now - proxy.loads[index].at,
                                 FailureDomain {},
-                                proxy.judge->expectedLatency(index) });
+                                proxy.detector->expectedLatency(index) });
         }
         ChooseRequest request { Routes[route].idempotent, FailureDomain {}, excluded };
         const std::optional<TargetIndex> chosen = choose(m_views, request, m_random);
@@ -295,7 +296,7 @@
             return;
         }
         Target &target = m_targets[*chosen];
-        if (target.busy >= Slots) {
+        if (target.busySlots >= Slots) {
             shed(proxyIndex, *chosen, route, tries, std::move(excluded));
             return;
         }
@@ -308,12 +309,12 @@
               std::uint8_t tries,
               std::vector<TargetIndex> excluded)
     {
-        constexpr std::uint8_t MostTries = 3;
+        constexpr std::uint8_t MaxTries = 3;
         Proxy &proxy = m_proxies[proxyIndex];
         ++m_result.sheds;
         proxy.limits[chosen].shed(Millis { 20 }, instant(m_now));
         observe(proxy, { chosen, route, AttemptResult::Shed, Millis { 2 } });
-        if (tries + 1 < MostTries) {
+        if (tries + 1 < MaxTries) {
             excluded.push_back(chosen);
             send(proxyIndex, route, static_cast<std::uint8_t>(tries + 1), std::move(excluded));
         } else {
@@ -321,10 +322,10 @@
         }
     }
 
-    bool faultActs(const Target &target, std::uint32_t proxy, std::uint16_t route) const
+    bool isFaultActive(const Target &target, std::uint32_t proxy, std::uint16_t route) const
     {
         const Fault &fault = m_settings.fault;
-        if (!target.sick || m_now < fault.onset) {
+        if (!target.hasFault || m_now < fault.onset) {
             return false;
         }
         if ((fault.onlyRoute >= 0 && fault.onlyRoute != route)
@@ -339,10 +340,10 @@
         constexpr double Sigma = 0.7;
         constexpr double TailShare = 0.01;
         constexpr double TailPower = 1.5;
-        constexpr double MostTail = 50;
+        constexpr double MaxTailFactor = 50;
         double factor = std::exp(Sigma * m_normal(m_random));
         if (uniform() < TailShare) {
-            factor *= std::min(MostTail, 2 * std::pow(1 - uniform(), -1 / TailPower));
+            factor *= std::min(MaxTailFactor, 2 * std::pow(1 - uniform(), -1 / TailPower));
         }
         const double cold = m_now < target.coldUntil ? ColdFactor : 1;
         return m_settings.service.medianSeconds * Routes[route].factor * target.speed * factor * cold;
@@ -356,40 +357,40 @@
         Proxy &proxy = m_proxies[proxyIndex];
         Target &target = m_targets[index];
         const Fault &fault = m_settings.fault;
-        const bool sick = faultActs(target, proxyIndex, route);
+        const bool hasFault = isFaultActive(target, proxyIndex, route);
         Request request { proxyIndex, index, route, 0, true, AttemptResult::Success, m_now };
         double seconds = serviceSeconds(target, route);
         if (target.pausedUntil > m_now) {
             seconds += toSeconds(target.pausedUntil - m_now);
         }
         const double draw = uniform();
-        bool hurt = false;
+        bool harmed = false;
         if (draw < HealthyErrors) {
             request.result = AttemptResult::ServerError;
         } else if (draw < HealthyErrors + HealthyTruncated) {
             request.result = AttemptResult::Truncated;
         }
-        if (sick) {
+        if (hasFault) {
             seconds = fault.hangs ? TimeoutSeconds : seconds * fault.slowFactor;
-            hurt = fault.hangs || fault.slowFactor > 1;
+            harmed = fault.hangs || fault.slowFactor > 1;
             const double kind = uniform();
             if (kind < fault.errorShare) {
                 request.result = AttemptResult::ServerError;
             } else if (kind < fault.errorShare + fault.truncatedShare) {
                 request.result = AttemptResult::Truncated;
-            } else if (kind < fault.errorShare + fault.truncatedShare + fault.wrongShare) {
+            } else if (kind < fault.errorShare + fault.truncatedShare + fault.wrongBodyShare) {
                 request.result = AttemptResult::Mismatched;
             }
-            hurt = hurt || kind < fault.errorShare + fault.truncatedShare + fault.wrongShare;
+            harmed = harmed || kind < fault.errorShare + fault.truncatedShare + fault.wrongBodyShare;
         }
         if (seconds >= TimeoutSeconds) {
             seconds = TimeoutSeconds;
             request.result = AttemptResult::Timeout;
         }
-        m_result.hurt += hurt ? 1 : 0;
-        m_result.hurtByTrial += hurt && proxy.judge->phase(index) == TargetPhase::Trial ? 1 : 0;
-        ++target.busy;
-        proxy.waiting[index].push_back(m_now);
+        m_result.harmed += harmed ? 1 : 0;
+        m_result.harmedOnTrial += harmed && proxy.detector->phase(index) == TargetPhase::Trial ? 1 : 0;
+        ++target.busySlots;
+        proxy.startTimes[index].push_back(m_now);
         std::uint32_t slot = 0;
         if (m_free.empty()) {
             slot = static_cast<std::uint32_t>(m_requests.size());
@@ -408,20 +409,20 @@
         m_free.push_back(slot);
         Proxy &proxy = m_proxies[request.proxy];
         Target &target = m_targets[request.target];
-        --target.busy;
-        std::vector<Duration> &waiting = proxy.waiting[request.target];
-        const auto inFlight = static_cast<std::uint32_t>(waiting.size());
-        waiting.erase(std::find(waiting.begin(), waiting.end(), request.start));
+        --target.busySlots;
+        std::vector<Duration> &startTimes = proxy.startTimes[request.target];
+        const auto inFlight = static_cast<std::uint32_t>(startTimes.size());
+        startTimes.erase(std::find(startTimes.begin(), startTimes.end(), request.start));
         const Duration latency = m_now - request.start;
         proxy.limits[request.target].onResponse(inFlight, latency, Duration {});
-        const bool lies = m_settings.fault.liesAboutLoad && target.sick;
-        proxy.loads[request.target] = { lies ? 0 : target.busy, m_now };
+        const bool zeroLoad = m_settings.fault.reportsZeroLoad && target.hasFault;
+        proxy.loads[request.target] = { zeroLoad ? 0 : target.busySlots, m_now };
         observe(proxy, { request.target, request.route, request.result, latency });
     }
 
     void observe(Proxy &proxy, const Attempt &attempt)
     {
-        proxy.judge->observe(attempt, instant(m_now));
+        proxy.detector->observe(attempt, instant(m_now));
         for (const auto &shadow : proxy.shadows) {
             shadow->observe(attempt, instant(m_now));
         }
@@ -431,30 +432,30 @@
     {
         Proxy &proxy = m_proxies[index];
         for (std::uint32_t target = 0; target < m_targets.size(); ++target) {
-            const std::vector<Duration> &waiting = proxy.waiting[target];
-            if (waiting.empty()) {
-                proxy.judge->observeOutstanding(target, Duration {}, 0, instant(m_now));
+            const std::vector<Duration> &startTimes = proxy.startTimes[target];
+            if (startTimes.empty()) {
+                proxy.detector->observeOutstanding(target, Duration {}, 0, instant(m_now));
                 continue;
             }
-            const Duration oldest = m_now - *std::min_element(waiting.begin(), waiting.end());
-            const auto count = std::count_if(waiting.begin(), waiting.end(), [&](Duration start) {
+            const Duration oldest = m_now - *std::min_element(startTimes.begin(), startTimes.end());
+            const auto count = std::count_if(startTimes.begin(), startTimes.end(), [&](Duration start) {
                 return m_now - start >= oldest / 2;
             });
-            proxy.judge->observeOutstanding(target, oldest, static_cast<std::uint32_t>(count), instant(m_now));
+            proxy.detector->observeOutstanding(target, oldest, static_cast<std::uint32_t>(count), instant(m_now));
         }
-        proxy.judge->tick(instant(m_now));
+        proxy.detector->tick(instant(m_now));
         for (const auto &shadow : proxy.shadows) {
             shadow->tick(instant(m_now));
         }
-        exchange(index);
-        look(index);
+        sendReports(index);
+        recordDetections(index);
         push(m_now + Millis { 100 }, Kind::Tick, index);
     }
 
-    void exchange(std::uint32_t index)
+    void sendReports(std::uint32_t index)
     {
         Proxy &proxy = m_proxies[index];
-        ServiceHealth *health = proxy.judge->health();
+        ServiceHealth *health = proxy.detector->health();
         if (health == nullptr || m_now - proxy.lastReport < health->reportInterval()) {
             return;
         }
@@ -470,42 +471,42 @@
 
     void receive(std::uint32_t)
     {
-        // All take equally long, so they arrive in the order in which they were sent.
+        // All messages have the same delay, so they arrive in the order in which they were sent.
         const Message message = std::move(m_messages.front());
         m_messages.pop();
-        m_proxies[message.to].judge->health()->merge(m_proxies[message.from].id, message.report, instant(m_now));
-        exchange(message.to);
+        m_proxies[message.to].detector->health()->merge(m_proxies[message.from].id, message.report, instant(m_now));
+        sendReports(message.to);
     }
 
-    static bool isOut(const Judge &judge, std::uint32_t target)
+    static bool isOutOfService(const FaultDetector &detector, std::uint32_t target)
     {
-        const TargetPhase phase = judge.phase(target);
+        const TargetPhase phase = detector.phase(target);
         return phase == TargetPhase::Ejected || phase == TargetPhase::Trial;
     }
 
-    void look(std::uint32_t index)
+    void recordDetections(std::uint32_t index)
     {
         Proxy &proxy = m_proxies[index];
-        const bool faulty = m_now >= m_settings.fault.onset;
+        const bool faultStarted = m_now >= m_settings.fault.onset;
         for (std::uint32_t target = 0; target < m_targets.size(); ++target) {
-            const bool out = isOut(*proxy.judge, target);
-            if (out && m_targets[target].sick && faulty && proxy.detectedAt[target] < 0) {
+            const bool outOfService = isOutOfService(*proxy.detector, target);
+            if (outOfService && m_targets[target].hasFault && faultStarted && proxy.detectedAt[target] < 0) {
                 proxy.detectedAt[target] = toSeconds(m_now - m_settings.fault.onset);
             }
-            if (out && !m_targets[target].wasSick) {
-                countFalse(0, target, m_result.falseEjections);
+            if (outOfService && !m_targets[target].hadFault) {
+                countFalseEjection(0, target, m_result.falseEjections);
             }
             for (std::size_t shadow = 0; shadow < proxy.shadows.size(); ++shadow) {
-                if (isOut(*proxy.shadows[shadow], target) && !m_targets[target].wasSick) {
-                    countFalse(1 + shadow, target, m_result.shadowFalseEjections[shadow]);
+                if (isOutOfService(*proxy.shadows[shadow], target) && !m_targets[target].hadFault) {
+                    countFalseEjection(1 + shadow, target, m_result.shadowFalseEjections[shadow]);
                 }
             }
         }
         if (index == 0) {
             checkFloor();
-            watchPeaks();
+            recordPeaks();
         }
-        if (ServiceHealth *health = proxy.judge->health()) {
+        if (ServiceHealth *health = proxy.detector->health()) {
             for (const HealthEvent &event : health->takeEvents()) {
                 m_result.allSlowEvents += event.event == Event::AllSlow ? 1 : 0;
                 if (m_settings.onEvent) {
@@ -515,10 +516,10 @@
         }
     }
 
-    // Several proxies that eject the same target at about the same time are one false ejection.
-    void countFalse(std::size_t judge, std::uint32_t target, double &count)
+    // Ejections of the same target by several proxies at about the same time count as one false ejection.
+    void countFalseEjection(std::size_t detector, std::uint32_t target, double &count)
     {
-        double &last = m_lastFalse[judge * m_targets.size() + target];
+        double &last = m_lastFalseEjection[detector * m_targets.size() + target];
         if (toSeconds(m_now) - last > 60) {
             ++count;
         }
@@ -531,33 +532,33 @@
         std::size_t inService = 0;
         std::size_t ejected = 0;
         for (std::uint32_t target = 0; target < m_targets.size(); ++target) {
-            const bool out = std::any_of(m_proxies.begin(), m_proxies.end(), [target](const Proxy &proxy) {
-                return isOut(*proxy.judge, target);
+            const bool outOfService = std::any_of(m_proxies.begin(), m_proxies.end(), [target](const Proxy &proxy) {
+                return isOutOfService(*proxy.detector, target);
             });
-            ejected += out ? 1 : 0;
-            inService += out || m_targets[target].leaving || m_now < m_targets[target].coldUntil ? 0 : 1;
+            ejected += outOfService ? 1 : 0;
+            inService += outOfService || m_targets[target].leaving || m_now < m_targets[target].coldUntil ? 0 : 1;
         }
         m_result.floorViolations += ejected > 0 && inService < floor ? 1 : 0;
     }
 
-    // Keeps the height of each excursion of a healthy target's joint suspicion, from which the rate of false ejections
-    // at any threshold follows.
-    void watchPeaks()
+    // Records the peak of each excursion of a healthy target's joint suspicion. The rate of false ejections at any
+    // threshold follows from the peaks.
+    void recordPeaks()
     {
-        const ServiceHealth *health = m_proxies[0].judge->health();
+        const ServiceHealth *health = m_proxies[0].detector->health();
         if (health == nullptr || m_settings.fault.kind != FaultKind::None) {
             return;
         }
-        constexpr double Over = 4;
+        constexpr double MinPeak = 4;
         const std::vector<TargetHealthView> views = health->views();
         for (const TargetHealthView &view : views) {
             const std::size_t target = std::stoul(view.target.value().substr(1));
             const double height = view.decisive;
-            if (height > Over) {
-                m_peak[target] = std::max(m_peak[target], height);
-            } else if (m_peak[target] > 0) {
-                m_result.peaks.push_back(m_peak[target]);
-                m_peak[target] = 0;
+            if (height > MinPeak) {
+                m_currentPeak[target] = std::max(m_currentPeak[target], height);
+            } else if (m_currentPeak[target] > 0) {
+                m_result.peaks.push_back(m_currentPeak[target]);
+                m_currentPeak[target] = 0;
             }
         }
     }
@@ -565,7 +566,7 @@
     void finish()
     {
         for (std::uint32_t target = 0; target < m_targets.size(); ++target) {
-            if (!m_targets[target].wasSick) {
+            if (!m_targets[target].hadFault) {
                 continue;
             }
             double last = 0;
@@ -581,7 +582,7 @@
         }
     }
 
-    WorldSettings m_settings;
+    HealthSimulationSettings m_settings;
     std::mt19937_64 m_random;
     std::normal_distribution<double> m_normal;
     std::vector<Target> m_targets;
@@ -590,11 +591,11 @@
     std::vector<std::uint32_t> m_free;
     std::vector<TargetView> m_views;
     std::queue<Message> m_messages;
-    std::priority_queue<Happening> m_events;
-    std::vector<double> m_lastFalse;
-    std::vector<double> m_peak;
+    std::priority_queue<SimulationEvent> m_events;
+    std::vector<double> m_lastFalseEjection;
+    std::vector<double> m_currentPeak;
     Duration m_now {};
-    WorldResult m_result;
+    HealthSimulationResult m_result;
 };
 
 } // namespace healthmodel
--- a/bench/healthmodel/scenario.h
+++ b/bench/healthmodel/scenario.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the measurement of health runs: services, their traffic, and the faults of their targets.
+// The scenarios of the health measurement: services, their traffic, and the faults of their targets.
 
 #include <array>
 #include <cstdint>
@@ -28,11 +28,12 @@
     RouteModel { 0.10, 4.0, true },
 };
 
-// Service times are lognormal with a Pareto tail, the same for all targets but for a fixed factor per target.
+// Service times are lognormal with a Pareto tail. The distribution is the same for all targets except for a fixed
+// factor per target.
 struct ServiceModel {
     std::string name;
     std::size_t targets = 6;
-    double requestsPerSecond = 100; // on average over a wave
+    double requestsPerSecond = 100; // on average over one period of the load wave
     double medianSeconds = 0.030; // of the first route
     double floorShare = 0.5;
 };
@@ -55,7 +56,7 @@
     Truncated2,
     WrongBody,
     Hang,
-    LyingSlow,
+    SlowZeroLoad,
     Flap2,
     Flap10,
     Flap60,
@@ -87,16 +88,16 @@
 struct Fault {
     FaultKind kind = FaultKind::None;
     Duration onset {};
-    double slowFactor = 1; // of service time while sick
+    double slowFactor = 1; // of the service time while the fault is active
     double errorShare = 0;
     double truncatedShare = 0;
-    double wrongShare = 0;
+    double wrongBodyShare = 0;
     bool hangs = false;
-    bool liesAboutLoad = false;
+    bool reportsZeroLoad = false;
     int onlyRoute = -1;
     int onlyProxy = -1;
-    Duration flapPeriod {}; // half of it sick, half of it well
-    std::size_t sickTargets = 1;
+    Duration flapPeriod {}; // faulty for one half, healthy for the other; 0: no flapping
+    std::size_t faultyTargets = 1;
 };
 
 inline Fault faultOf(FaultKind kind, std::size_t targets)
@@ -106,7 +107,7 @@
     fault.onset = Seconds { 25 };
     switch (kind) {
     case FaultKind::None:
-        fault.sickTargets = 0;
+        fault.faultyTargets = 0;
         break;
     case FaultKind::Slow3:
         fault.slowFactor = 3;
@@ -125,14 +126,14 @@
         fault.truncatedShare = 0.02;
         break;
     case FaultKind::WrongBody:
-        fault.wrongShare = 0.3;
+        fault.wrongBodyShare = 0.3;
         break;
     case FaultKind::Hang:
         fault.hangs = true;
         break;
-    case FaultKind::LyingSlow:
+    case FaultKind::SlowZeroLoad:
         fault.slowFactor = 10;
-        fault.liesAboutLoad = true;
+        fault.reportsZeroLoad = true;
         break;
     case FaultKind::Flap2:
     case FaultKind::Flap10:
@@ -150,11 +151,11 @@
     case FaultKind::Half:
     case FaultKind::HalfInDeploy:
         fault.slowFactor = 10;
-        fault.sickTargets = targets / 2;
+        fault.faultyTargets = targets / 2;
         break;
     case FaultKind::AllSlow:
         fault.slowFactor = 5;
-        fault.sickTargets = targets;
+        fault.faultyTargets = targets;
         break;
     }
     return fault;
--- a/bench/healthmodel/search.h
+++ b/bench/healthmodel/search.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Searches the faults' parameters for those that hurt most requests before, and in spite of, ejection.
+// Searches the parameters of faults for those that harm most requests before and despite ejection.
 
 #include <algorithm>
 #include <atomic>
@@ -9,15 +9,15 @@
 #include <thread>
 #include <vector>
 
-#include "world.h"
+#include "healthsimulation.h"
 
 namespace healthmodel
 {
 
 struct SearchResult {
     Fault fault;
-    double hurtShare = 0; // of the requests that the target would get when well, in the time after the onset
-    double detection = 0; // seconds, negative: not within the run
+    double harmedShare = 0; // of the requests that the target would get if healthy, in the time after the onset
+    double detection = 0; // seconds; negative if not detected within the run
 };
 
 inline std::string describe(const Fault &fault)
@@ -31,7 +31,7 @@
 {
     std::uniform_real_distribution<double> uniform(0, 1);
     Fault fault = faultOf(FaultKind::Slow10, 1);
-    // Below these bounds a target is worse than others but hardly sick.
+    // Below these bounds a target is worse than the other targets, but hardly faulty.
     const bool slow = uniform(random) < 0.6;
     fault.slowFactor = slow ? 3 * std::exp(uniform(random) * std::log(10)) : 1;
     fault.errorShare = slow && uniform(random) < 0.7 ? 0 : 0.05 + 0.5 * std::pow(uniform(random), 2);
@@ -44,20 +44,20 @@
 
 inline SearchResult tryFault(const Fault &fault, std::uint64_t seed)
 {
-    WorldSettings settings;
+    HealthSimulationSettings settings;
     settings.service = servicesOfBothRegions().at(1);
     settings.fault = fault;
     settings.seed = seed;
-    const WorldResult result = World(settings).run();
+    const HealthSimulationResult result = HealthSimulation(settings).run();
     const double after = toSeconds(settings.length - fault.onset);
     const double normal = settings.service.requestsPerSecond * after / static_cast<double>(settings.service.targets);
-    return { fault, result.hurt / normal, result.detection.front() };
+    return { fault, result.harmed / normal, result.detection.front() };
 }
 
 // Returns the worst faults of `tries` random ones, worst first.
 inline std::vector<SearchResult> searchWorst(int tries, std::uint64_t seed, unsigned threads)
 {
-    constexpr std::size_t Kept = 10;
+    constexpr std::size_t MaxResults = 10;
     std::mt19937_64 random(seed);
     std::vector<SearchResult> results(static_cast<std::size_t>(tries));
     for (SearchResult &result : results) {
@@ -76,9 +76,9 @@
         worker.join();
     }
     std::sort(results.begin(), results.end(), [](const SearchResult &left, const SearchResult &right) {
-        return left.hurtShare > right.hurtShare;
+        return left.harmedShare > right.harmedShare;
     });
-    results.resize(std::min(results.size(), Kept));
+    results.resize(std::min(results.size(), MaxResults));
     return results;
 }
 
--- a/bench/healthmodel/summary.h
+++ b/bench/healthmodel/summary.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Sums up many runs into the rows of the tables.
+// Aggregates many runs into the rows of the tables.
 
 #include <algorithm>
 #include <cmath>
@@ -11,7 +11,7 @@
 
 #include <boost/json.hpp>
 
-#include "world.h"
+#include "healthsimulation.h"
 
 namespace healthmodel
 {
@@ -19,13 +19,13 @@
 class FaultSummary
 {
 public:
-    void add(const WorldResult &result)
+    void add(const HealthSimulationResult &result)
     {
         ++m_runs;
-        m_hurt += result.hurt;
-        m_onTrial += result.hurtByTrial;
-        m_false += result.falseEjections;
-        m_floor += result.floorViolations;
+        m_harmed += result.harmed;
+        m_onTrial += result.harmedOnTrial;
+        m_falseEjections += result.falseEjections;
+        m_floorViolations += result.floorViolations;
         m_unserved += result.unserved;
         m_requests += result.requests;
         m_allSlow += result.allSlowEvents;
@@ -39,33 +39,33 @@
         return m_runs == 0;
     }
 
-    void print(std::string_view fault, std::string_view judge)
+    void print(std::string_view fault, std::string_view detector)
     {
         std::printf("%-42s %-19s %8s %8s %6.0f%% %9.1f %9.1f %8.2f %8.2f\n",
                     std::string(fault).c_str(),
-                    std::string(judge).c_str(),
+                    std::string(detector).c_str(),
                     text(quantile(0.5)).c_str(),
                     text(quantile(0.99)).c_str(),
                     100 * missed(),
-                    m_hurt / m_runs,
+                    m_harmed / m_runs,
                     m_onTrial / m_runs,
-                    m_false / m_runs,
-                    m_floor / m_runs);
+                    m_falseEjections / m_runs,
+                    m_floorViolations / m_runs);
     }
 
-    boost::json::object toJson(std::string_view fault, std::string_view judge)
+    boost::json::object toJson(std::string_view fault, std::string_view detector)
     {
         boost::json::object row;
         row["fault"] = fault;
-        row["judge"] = judge;
+        row["judge"] = detector;
         row["runs"] = m_runs;
         row["p50Seconds"] = value(quantile(0.5));
         row["p99Seconds"] = value(quantile(0.99));
         row["missedShare"] = missed();
-        row["hurtPerRun"] = m_hurt / m_runs;
+        row["hurtPerRun"] = m_harmed / m_runs;
         row["hurtOnTrialPerRun"] = m_onTrial / m_runs;
-        row["falseEjectionsPerRun"] = m_false / m_runs;
-        row["floorViolationsPerRun"] = m_floor / m_runs;
+        row["falseEjectionsPerRun"] = m_falseEjections / m_runs;
+        row["floorViolationsPerRun"] = m_floorViolations / m_runs;
         row["unservedShare"] = m_unserved / std::max(1.0, m_requests);
         row["allSlowEventsPerRun"] = m_allSlow / m_runs;
         return row;
@@ -107,10 +107,10 @@
     }
 
     double m_runs = 0;
-    double m_hurt = 0;
+    double m_harmed = 0;
     double m_onTrial = 0;
-    double m_false = 0;
-    double m_floor = 0;
+    double m_falseEjections = 0;
+    double m_floorViolations = 0;
     double m_unserved = 0;
     double m_requests = 0;
     double m_allSlow = 0;
@@ -120,11 +120,11 @@
 class HealthySummary
 {
 public:
-    void add(const WorldResult &result, double targetHours)
+    void add(const HealthSimulationResult &result, double targetHours)
     {
         m_hours += targetHours;
-        m_false += result.falseEjections;
-        m_floor += result.floorViolations;
+        m_falseEjections += result.falseEjections;
+        m_floorViolations += result.floorViolations;
         m_requests += result.requests;
         m_sheds += result.sheds;
         m_unserved += result.unserved;
@@ -143,17 +143,17 @@
             m_requests,
             100 * m_sheds / m_requests,
             100 * m_unserved / m_requests);
-        std::printf("taken out by cautious: %.0f; floor violations: %.0f\n", m_false, m_floor);
+        std::printf("taken out by cautious: %.0f; floor violations: %.0f\n", m_falseEjections, m_floorViolations);
         for (std::size_t index = 0; index < m_baselines.size(); ++index) {
-            const std::size_t judge = static_cast<std::size_t>(JudgeKind::ConsecutiveErrors) + index;
+            const std::size_t detector = static_cast<std::size_t>(FaultDetectorKind::ConsecutiveErrors) + index;
             std::printf("taken out by %s: %.0f, %.1f per 1,000 target-hours\n",
-                        JudgeNames.at(judge).data(),
+                        FaultDetectorNames.at(detector).data(),
                         m_baselines[index],
                         per1000(m_baselines[index]));
         }
         std::printf("excursions of healthy targets that reach a threshold:\n");
-        for (int threshold = LeastThreshold; threshold <= MostThreshold; ++threshold) {
-            const double count = over(threshold);
+        for (int threshold = MinThreshold; threshold <= MaxThreshold; ++threshold) {
+            const double count = countAtLeast(threshold);
             std::printf("  %2d  %6.0f  %10.3f per 1,000 target-hours\n", threshold, count, per1000(count));
         }
     }
@@ -163,27 +163,27 @@
         boost::json::object result;
         result["targetHours"] = m_hours;
         result["requests"] = m_requests;
-        result["takenOutByCautious"] = m_false;
-        result["floorViolations"] = m_floor;
+        result["takenOutByCautious"] = m_falseEjections;
+        result["floorViolations"] = m_floorViolations;
         boost::json::array baselines;
         for (std::size_t index = 0; index < m_baselines.size(); ++index) {
-            const std::size_t judge = static_cast<std::size_t>(JudgeKind::ConsecutiveErrors) + index;
-            baselines.push_back({ { "judge", JudgeNames.at(judge) }, { "takenOut", m_baselines[index] } });
+            const std::size_t detector = static_cast<std::size_t>(FaultDetectorKind::ConsecutiveErrors) + index;
+            baselines.push_back({ { "judge", FaultDetectorNames.at(detector) }, { "takenOut", m_baselines[index] } });
         }
         result["baselines"] = baselines;
         boost::json::array curve;
-        for (int threshold = LeastThreshold; threshold <= MostThreshold; ++threshold) {
-            curve.push_back({ { "threshold", threshold }, { "excursions", over(threshold) } });
+        for (int threshold = MinThreshold; threshold <= MaxThreshold; ++threshold) {
+            curve.push_back({ { "threshold", threshold }, { "excursions", countAtLeast(threshold) } });
         }
         result["curve"] = curve;
         return result;
     }
 
 private:
-    static constexpr int LeastThreshold = 8;
-    static constexpr int MostThreshold = 32;
+    static constexpr int MinThreshold = 8;
+    static constexpr int MaxThreshold = 32;
 
-    double over(double threshold) const
+    double countAtLeast(double threshold) const
     {
         return static_cast<double>(std::count_if(m_peaks.begin(), m_peaks.end(), [threshold](double peak) {
             return peak >= threshold;
@@ -196,8 +196,8 @@
     }
 
     double m_hours = 0;
-    double m_false = 0;
-    double m_floor = 0;
+    double m_falseEjections = 0;
+    double m_floorViolations = 0;
     double m_requests = 0;
     double m_sheds = 0;
     double m_unserved = 0;
--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -1,5 +1,5 @@
-// Measures membership on virtual time: how soon a dead, a paused and a half-deaf member is noticed, and what messages,
-// bytes and processor time it costs each member. Prints JSON: bench-members [--out FILE] [SIZE...]
+// Measures membership on virtual time: how soon the other members detect a member that is dead, paused or receives
+// nothing, and the messages, bytes and processor time per member. Prints JSON: bench-members [--out FILE] [SIZE...]
 #include <algorithm>
 #include <ctime>
 #include <fstream>
@@ -22,7 +22,7 @@
 
 constexpr Seconds IdleTime { 10 };
 constexpr Seconds FaultTime { 20 };
-constexpr std::size_t LargeFleet = 2'000; // from here on one fault of each kind is tried
+constexpr std::size_t LargeFleet = 2'000; // from this size on, one fault of each kind is tried
 constexpr std::size_t Faults = 5;
 
 double processorSeconds()
@@ -30,7 +30,7 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-// What a message takes on the wire: sealed, within UDP and IP headers.
+// Returns the size of a message on the wire: sealed, with UDP and IP headers.
 std::size_t wireSize(const MembershipMessage &message)
 {
     constexpr std::size_t UdpAndIpHeaders = 28;
@@ -44,8 +44,9 @@
     return UdpAndIpHeaders + Envelope + encode(message).size();
 }
 
-// When each other member first suspected the victim, and when it first took it for dead, in seconds after the fault.
-struct Notice {
+// The times at which each other member first suspected the victim and first declared it dead, in seconds after the
+// fault.
+struct DetectionTimes {
     std::vector<double> suspected;
     std::vector<double> dead;
 };
@@ -70,33 +71,33 @@
 enum class Fault {
     Dead,
     Paused,
-    HalfDeaf,
+    InboundBlocked,
 };
 
-std::size_t tryFault(VirtualFleet &fleet, Fault fault, std::size_t victim, Notice &notice)
+std::size_t tryFault(VirtualFleet &fleet, Fault fault, std::size_t victim, DetectionTimes &detectionTimes)
 {
     const Instant begin = fleet.now();
     const Incarnation incarnation = fleet.node(victim).self.incarnation;
     std::vector<bool> suspected(fleet.size());
     std::vector<bool> dead(fleet.size());
-    std::size_t falseAccusations = 0;
+    std::size_t falseSuspicions = 0;
     fleet.onEvent = [&](std::size_t node, const MembershipEvent &event) {
         const bool isDeath = event.event == Event::MemberDead;
         if (node == victim || (!isDeath && event.event != Event::MemberSuspected)) {
             return;
         }
         if (event.member.incarnation != incarnation) {
-            ++falseAccusations;
+            ++falseSuspicions;
             return;
         }
         const double after = toSeconds(fleet.now() - begin);
         if (!suspected[node]) {
             suspected[node] = true;
-            notice.suspected.push_back(after);
+            detectionTimes.suspected.push_back(after);
         }
         if (isDeath && !dead[node]) {
             dead[node] = true;
-            notice.dead.push_back(after);
+            detectionTimes.dead.push_back(after);
         }
     };
     switch (fault) {
@@ -106,7 +107,7 @@
     case Fault::Paused:
         fleet.pause(victim, FaultTime);
         break;
-    case Fault::HalfDeaf:
+    case Fault::InboundBlocked:
         fleet.blocked = [victim](std::size_t, std::size_t to) {
             return to == victim;
         };
@@ -119,7 +120,7 @@
         fleet.start(victim);
     }
     fleet.run(FaultTime / 2);
-    return falseAccusations;
+    return falseSuspicions;
 }
 
 boost::json::object measure(std::size_t size)
@@ -127,7 +128,7 @@
     VirtualFleet fleet(size, {}, 1);
     fleet.startAll();
     fleet.introduceAll();
-    // The news of everyone's start has to run dry before the fleet is idle.
+    // The fleet is idle only after the updates about the start of all members have been disseminated.
     fleet.run(IdleTime);
     fleet.sizeOf = wireSize;
     const auto totals = [&fleet] {
@@ -155,21 +156,21 @@
     result["exchange_request_bytes"] = encode(fleet.node(0).membership->exchangeRequest()).size();
     fleet.sizeOf = {};
 
-    std::size_t falseAccusations = 0;
+    std::size_t falseSuspicions = 0;
     const std::map<std::string, Fault> faults { { "dead", Fault::Dead },
                                                 { "paused", Fault::Paused },
-                                                { "half_deaf", Fault::HalfDeaf } };
+                                                { "half_deaf", Fault::InboundBlocked } };
     for (const auto &[name, fault] : faults) {
         const std::size_t count = size >= LargeFleet ? 1 : Faults;
-        Notice notice;
+        DetectionTimes detectionTimes;
         for (std::size_t i = 0; i < count; ++i) {
-            falseAccusations += tryFault(fleet, fault, 1 + i * (size - 2) / count, notice);
+            falseSuspicions += tryFault(fleet, fault, 1 + i * (size - 2) / count, detectionTimes);
         }
         result[name] =
-            boost::json::object { { "seconds_until_suspected", summary(notice.suspected, count * (size - 1)) },
-                                  { "seconds_until_dead", summary(notice.dead, count * (size - 1)) } };
+            boost::json::object { { "seconds_until_suspected", summary(detectionTimes.suspected, count * (size - 1)) },
+                                  { "seconds_until_dead", summary(detectionTimes.dead, count * (size - 1)) } };
     }
-    result["false_accusations"] = falseAccusations;
+    result["false_accusations"] = falseSuspicions;
     return result;
 }
 
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -1,6 +1,7 @@
-// Measures placement: how much moves when a member leaves or joins, against modulo and a ring; how evenly services
-// spread; what it costs, from scratch and kept up to date; and whether widening a service's set by load helps a
-// suddenly popular service. Prints JSON: bench-placement [--out FILE]
+// Measures placement: how many assignments move when a member leaves or joins, compared with modulo and a hash ring;
+// how evenly services are distributed; the cost of full recomputation and of incremental updates; and whether widening
+// a service's set of proxies by load helps a service whose load rises suddenly. Prints JSON:
+// bench-placement [--out FILE]
 #include <algorithm>
 #include <cmath>
 #include <ctime>
@@ -26,11 +27,11 @@
 constexpr std::size_t FleetSize = 6'600;
 constexpr std::size_t Domains = 6;
 constexpr std::size_t Services = 3'500;
-constexpr std::size_t SetSize = 12; // two in each failure domain
+constexpr std::size_t ProxiesPerService = 12; // two in each failure domain
 constexpr std::size_t SampledServices = 350; // for the comparison, which places each service many times
-constexpr std::size_t RingPoints = 100; // of each member
+constexpr std::size_t RingPoints = 100; // per member
 
-using Choice = std::function<std::set<std::string>(std::size_t service, const std::vector<Member> &members)>;
+using PlacementFunction = std::function<std::set<std::string>(std::size_t service, const std::vector<Member> &members)>;
 
 std::uint64_t hashOf(const std::string &text)
 {
@@ -69,14 +70,14 @@
 {
     std::set<std::string> chosen;
     const std::uint64_t hash = hashOf(serviceName(service).value());
-    for (std::size_t i = 0; i < SetSize; ++i) {
+    for (std::size_t i = 0; i < ProxiesPerService; ++i) {
         chosen.insert(members[(hash + i) % members.size()].vm.value());
     }
     return chosen;
 }
 
-// The ring is built once per member list.
-Choice byRing(const std::vector<Member> &members)
+// Returns consistent hashing over a ring that is built once for this member list.
+PlacementFunction byRing(const std::vector<Member> &members)
 {
     std::map<std::uint64_t, std::string> ring;
     for (const Member &member : members) {
@@ -87,7 +88,7 @@
     return [ring = std::move(ring)](std::size_t service, const std::vector<Member> &) {
         std::set<std::string> chosen;
         auto at = ring.lower_bound(hashOf(serviceName(service).value()));
-        while (chosen.size() < SetSize) {
+        while (chosen.size() < ProxiesPerService) {
             at = at == ring.end() ? ring.begin() : at;
             chosen.insert(at->second);
             ++at;
@@ -96,8 +97,11 @@
     };
 }
 
-// The share of all places that are held by another member afterwards.
-double moved(const Choice &before, const std::vector<Member> &old, const Choice &after, const std::vector<Member> &now)
+// Returns the share of all assignments that move to another member.
+double movedShare(const PlacementFunction &before,
+                  const std::vector<Member> &old,
+                  const PlacementFunction &after,
+                  const std::vector<Member> &now)
 {
     std::size_t places = 0;
     std::size_t changed = 0;
@@ -115,23 +119,23 @@
 boost::json::object movement(std::size_t size, std::size_t leaving)
 {
     const std::vector<Member> all = fleetOf(size);
-    std::vector<Member> rest;
+    std::vector<Member> remaining;
     for (std::size_t i = 0; i < all.size(); ++i) {
         const bool leaves = leaving == 1 ? i == 3 : hashOf(all[i].vm.value()) % (size / leaving) == 0;
         if (!leaves) {
-            rest.push_back(all[i]);
+            remaining.push_back(all[i]);
         }
     }
-    const Choice ringAll = byRing(all);
-    const Choice ringRest = byRing(rest);
+    const PlacementFunction ringAll = byRing(all);
+    const PlacementFunction ringRest = byRing(remaining);
     return { { "members", size },
-             { "leave_share", static_cast<double>(size - rest.size()) / static_cast<double>(size) },
-             { "moved_on_leave_rendezvous", moved(byRendezvous, all, byRendezvous, rest) },
-             { "moved_on_leave_ring", moved(ringAll, all, ringRest, rest) },
-             { "moved_on_leave_modulo", moved(byModulo, all, byModulo, rest) },
-             { "moved_on_join_rendezvous", moved(byRendezvous, rest, byRendezvous, all) },
-             { "moved_on_join_ring", moved(ringRest, rest, ringAll, all) },
-             { "moved_on_join_modulo", moved(byModulo, rest, byModulo, all) } };
+             { "leave_share", static_cast<double>(size - remaining.size()) / static_cast<double>(size) },
+             { "moved_on_leave_rendezvous", movedShare(byRendezvous, all, byRendezvous, remaining) },
+             { "moved_on_leave_ring", movedShare(ringAll, all, ringRest, remaining) },
+             { "moved_on_leave_modulo", movedShare(byModulo, all, byModulo, remaining) },
+             { "moved_on_join_rendezvous", movedShare(byRendezvous, remaining, byRendezvous, all) },
+             { "moved_on_join_ring", movedShare(ringRest, remaining, ringAll, all) },
+             { "moved_on_join_modulo", movedShare(byModulo, remaining, byModulo, all) } };
 }
 
 boost::json::object balanceAndCost()
@@ -145,13 +149,13 @@
         }
     }
     const double seconds = static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
-    std::size_t most = 0;
+    std::size_t maxServices = 0;
     for (const auto &[vm, count] : load) {
-        most = std::max(most, count);
+        maxServices = std::max(maxServices, count);
     }
-    const double mean = static_cast<double>(Services * SetSize) / static_cast<double>(FleetSize);
+    const double mean = static_cast<double>(Services * ProxiesPerService) / static_cast<double>(FleetSize);
     return { { "services_per_member_mean", mean },
-             { "services_per_member_max", most },
+             { "services_per_member_max", maxServices },
              { "members_without_a_service", FleetSize - load.size() },
              { "microseconds_per_service", seconds * 1e6 / static_cast<double>(Services) },
              { "seconds_for_all_services", seconds } };
@@ -162,53 +166,55 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-// A VM is replaced: its member goes, and later another comes. Both ways of following it, at the same members.
+// Measures the replacement of VMs: one member leaves, and another joins later. Compares incremental updates of the
+// index with a full recomputation, for the same members.
 boost::json::object memberChange()
 {
     constexpr std::size_t Replacements = 100;
-    const std::vector<Member> newcomers = fleetOf(FleetSize + Replacements);
-    std::vector<Member> members(newcomers.begin(), newcomers.begin() + FleetSize);
+    const std::vector<Member> allMembers = fleetOf(FleetSize + Replacements);
+    std::vector<Member> members(allMembers.begin(), allMembers.begin() + FleetSize);
     PlacementIndex index({});
-    const double filling = processorSeconds();
+    const double fillStart = processorSeconds();
     index.setMembers(members);
     for (std::size_t service = 0; service < Services; ++service) {
         index.setService(serviceName(service), {});
     }
-    const double filled = processorSeconds();
-    std::size_t touched = 0;
+    const double fillEnd = processorSeconds();
+    std::size_t changedServices = 0;
     for (std::size_t i = 0; i < Replacements; ++i) {
         const std::size_t replaced = (i * 61) % members.size();
         members.erase(members.begin() + static_cast<std::ptrdiff_t>(replaced));
-        touched += index.setMembers(members).size();
-        members.push_back(newcomers[FleetSize + i]);
-        touched += index.setMembers(members).size();
+        changedServices += index.setMembers(members).size();
+        members.push_back(allMembers[FleetSize + i]);
+        changedServices += index.setMembers(members).size();
     }
-    const double followed = processorSeconds();
+    const double updatesEnd = processorSeconds();
     for (std::size_t i = 0; i < Replacements; ++i) {
         members[i].applied += 1;
         index.setMembers(members);
     }
     const double applied = processorSeconds();
-    std::size_t wrong = 0;
+    std::size_t differing = 0;
     for (std::size_t service = 0; service < Services; ++service) {
-        wrong +=
+        differing +=
             assignedProxies(serviceName(service), members, {}) == index.assignedProxiesOf(serviceName(service)) ? 0 : 1;
     }
-    const double scratch = processorSeconds() - applied;
-    const double change = (followed - filled) / (2 * Replacements);
+    const double scratchSeconds = processorSeconds() - applied;
+    const double secondsPerChange = (updatesEnd - fillEnd) / (2 * Replacements);
     return { { "members", FleetSize },
              { "services", Services },
-             { "seconds_to_fill_the_index", filled - filling },
-             { "seconds_from_scratch", scratch },
-             { "milliseconds_per_member_change", change * 1e3 },
-             { "scratch_over_index", scratch / change },
-             { "services_touched_per_change", static_cast<double>(touched) / (2 * Replacements) },
-             { "milliseconds_per_update_without_change", (applied - followed) / Replacements * 1e3 },
-             { "services_that_differ_from_scratch", wrong } };
+             { "seconds_to_fill_the_index", fillEnd - fillStart },
+             { "seconds_from_scratch", scratchSeconds },
+             { "milliseconds_per_member_change", secondsPerChange * 1e3 },
+             { "scratch_over_index", scratchSeconds / secondsPerChange },
+             { "services_touched_per_change", static_cast<double>(changedServices) / (2 * Replacements) },
+             { "milliseconds_per_update_without_change", (applied - updatesEnd) / Replacements * 1e3 },
+             { "services_that_differ_from_scratch", differing } };
 }
 
-// A service gets popular at once, up to what its targets can do. The fixed set is sized by the targets, the wide one by
-// the load that was seen. Callers keep their answer for its lifetime, so a wider set comes into use over that time.
+// Measures a sudden rise of a service's load to the capacity of its targets. The size of the fixed set depends on the
+// targets, that of the widened set on the observed load. Callers cache their locate response for its lifetime, so the
+// use of a wider set grows over that time.
 boost::json::object widening(std::size_t targets, double millisPerRequest)
 {
     const PlacementSettings settings;
@@ -216,16 +222,17 @@
     const double peak = static_cast<double>(targets) * SlotsPerTarget * 1000 / millisPerRequest;
     const std::vector<Member> members = fleetOf(FleetSize);
     const auto fixed = static_cast<double>(assignedProxies(serviceName(0), members, settings, { targets }).size());
-    const auto wide = static_cast<double>(assignedProxies(serviceName(0), members, settings, { targets, peak }).size());
+    const auto widened =
+        static_cast<double>(assignedProxies(serviceName(0), members, settings, { targets, peak }).size());
     const double overloadBefore = peak / fixed / settings.requestsPerProxy;
-    const double overloadAfter = peak / wide / settings.requestsPerProxy;
-    // Halfway through the lifetime half of the callers still know the old set only.
-    const double overloadHalfway = (0.5 * peak / fixed + 0.5 * peak / wide) / settings.requestsPerProxy;
+    const double overloadAfter = peak / widened / settings.requestsPerProxy;
+    // Halfway through the lifetime, half of the callers still use the old set.
+    const double overloadHalfway = (0.5 * peak / fixed + 0.5 * peak / widened) / settings.requestsPerProxy;
     return { { "targets", targets },
              { "millis_per_request", millisPerRequest },
              { "peak_requests_per_second", peak },
              { "carriers_fixed", fixed },
-             { "carriers_widened", wide },
+             { "carriers_widened", widened },
              { "load_over_rating_fixed", overloadBefore },
              { "load_over_rating_widened_half_a_lifetime_later", overloadHalfway },
              { "load_over_rating_widened_a_lifetime_later", overloadAfter } };
--- a/bench/plansize.h
+++ b/bench/plansize.h
@@ -6,8 +6,7 @@
 #include "mulberryplank/net/peertransport.h"
 #include "mulberryplank/policy/configmodel.h"
 
-// The size to design for, its items and members, and a clock of processor time: what the benches of the control side
-// share.
+// Shared by the benchmarks of the control plane: the design size, its items and members, and a processor-time clock.
 namespace mulberryplank::plansize
 {
 
@@ -36,8 +35,8 @@
     return (processorSeconds() - begin) * 1e6 / repeats;
 }
 
-// Keeps the compiler from leaving out what nobody looks at.
-inline volatile std::size_t kept = 0;
+// Prevents the compiler from optimizing away unused results.
+inline volatile std::size_t optimizerSink = 0;
 
 inline Member memberOf(std::size_t number)
 {
@@ -94,7 +93,7 @@
     return Row { accountOf(number).name, serviceName(number % Services), 3, { 100, 8, 32 }, 0 };
 }
 
-inline PeerTransportSettings keyedTransport()
+inline PeerTransportSettings keyedTransportSettings()
 {
     PeerTransportSettings settings;
     settings.listen = Endpoint { "127.0.0.1", 0 };
--- a/bench/requestdecisions.cpp
+++ b/bench/requestdecisions.cpp
@@ -1,5 +1,5 @@
-// What the decisions on one request cost, side by side in one run: the processor time that they take from the budget of
-// a request.
+// Measures the processor time of the decisions on one request, as part of the budget of a request. All run in one
+// process, so that the figures are comparable.
 #include <string>
 
 #include <benchmark/benchmark.h>
@@ -42,7 +42,7 @@
     }
 }
 
-// The usual request: one attempt, one header, one piece of body.
+// Measures the usual request: one attempt, one header, one piece of the body.
 void planOneAttempt(benchmark::State &state)
 {
     for ([[maybe_unused]] auto step : state) {
@@ -76,7 +76,7 @@
     }
 }
 
-// One keyed request with a registry that is as full as it may get.
+// Measures one request with an idempotency key while the registry holds as many keys as it can.
 void runOnce(benchmark::State &state)
 {
     AtMostOnceSettings settings;
@@ -86,18 +86,18 @@
     });
     const AccountName account("studio-17");
     const ServiceName service("ticketdesk");
-    const StoredResponse answer { 201, { { "Content-Type", "application/json" } }, std::string(100, 'x') };
+    const StoredResponse response { 201, { { "Content-Type", "application/json" } }, std::string(100, 'x') };
     std::uint64_t number = 0;
     Instant now = Begin;
     for ([[maybe_unused]] auto step : state) {
-        // Time goes on so that as many keys expire as come in.
+        // Time advances so that as many keys expire as are added.
         now += std::chrono::milliseconds(7);
         const std::string key = toString(registry.token(now)) + "/" + std::to_string(number++);
         const AtMostOnceDecision decision = registry.begin(account, service, key, number, now);
         if (decision.kind != AtMostOnceDecisionKind::Run) {
             state.SkipWithError("no room: the benchmark measures refusals");
         }
-        registry.finishWithResponse(account, key, answer);
+        registry.finishWithResponse(account, key, response);
     }
     state.counters["keys"] = static_cast<double>(registry.size());
 }
--- a/scripts/capacitymeasures.py
+++ b/scripts/capacitymeasures.py
@@ -1,12 +1,12 @@
-"""What was measured, as rows for docs/CAPACITY.md, each with its command and how busy the machine was."""
-from capacityplan import (CODE, PEERS, PLAN, benchmark_us, bytes_text, core_text, figures, slope)
+"""The measurements as rows for docs/CAPACITY.md, each with its command and the load of the machine."""
+from capacityplan import (PEERS, PLAN, SETTINGS, benchmark_us, bytes_text, core_text, figures, slope)
 
 
 def measured_rows(measured):
     control = figures(measured, "capacity")
     lists = control["member_list"]
     reports = figures(measured, "carrier-reports")
-    few, many = reports["evidence"][0], reports["evidence"][-1]
+    typical, large = reports["evidence"][0], reports["evidence"][-1]
     table = figures(measured, "config-table")["sizes"][-1]
     largest = figures(measured, "virtual-members")["members"]
     decisions, health = figures(measured, "request-decisions"), figures(measured, "health-cost")
@@ -15,19 +15,20 @@
         ("caller side", "request-decisions", ", ".join(
             f"{name} {benchmark_us(decisions, name):.2f} us" for name in ("checkHeader", "proveIdentity", "planOneAttempt",
                                                                           "learnLatency", "runOnce"))),
-        ("caller side", "fairness", f"fair queue {figures(measured, 'fairness')['cost']['fair_ns_per_request']:.0f} ns a "
-                                    f"request and {figures(measured, 'fairness')['cost']['bytes_per_account']:.0f} B an "
-                                    "account, with 10,000 accounts"),
+        ("caller "
+         "side", "fairness", f"fair queue {figures(measured, 'fairness')['cost']['fair_ns_per_request']:.0f} ns a "
+                             f"request and {figures(measured, 'fairness')['cost']['bytes_per_account']:.0f} B an "
+                             "account, with 10,000 accounts"),
         ("evidence exchange", "health-cost", ", ".join(
             f"{name} {benchmark_us(health, name):.2f} us" for name in ("observe", "tick", "report", "chooseTarget"))),
         ("table", "config-table", f"{table['bytes_per_account']:.0f} B an account, {table['bytes_per_row']:.0f} a row, "
-                                  f"{table['bytes_per_target']:.0f} a target, {table['bytes_per_service']:.0f} a service; "
-                                  f"a view {table['view_bytes_per_row']:.0f} B a row; snapshot "
-                                  f"{bytes_text(table['snapshot_bytes'])}, written in {table['snapshot_ms'] / 1e3:.2f} s, "
-                                  f"loaded in {table['load_ms'] / 1e3:.2f} s"),
+                                  f"{table['bytes_per_target']:.0f} a target, {table['bytes_per_service']:.0f} a "
+                                  f"service; a view {table['view_bytes_per_row']:.0f} B a row; snapshot "
+                                  f"{bytes_text(table['snapshot_bytes'])}, written in {table['snapshot_ms'] / 1e3:.2f} "
+                                  f"s, loaded in {table['load_ms'] / 1e3:.2f} s"),
         ("table, placement", "capacity", f"first placement of {PLAN.services:,} services "
-                                         f"{control['carried']['first_placement_us'] / 1e6:.2f} s, one change of a member "
-                                         f"{control['carried']['member_change_us'] / 1e6:.2f} s, one edit "
+                                         f"{control['carried']['first_placement_us'] / 1e6:.2f} s, one change of a "
+                                         f"member {control['carried']['member_change_us'] / 1e6:.2f} s, one edit "
                                          f"{control['carried']['edit_us'] / 1e3:.2f} ms, tick "
                                          f"{control['carried']['tick_without_change_us'] / 1e3:.2f} ms"),
         ("placement", "placement", placement_text(figures(measured, "placement"))),
@@ -39,9 +40,11 @@
             f"{entry['members']:,}: {entry['bytes_sent_per_member_per_second']:.0f} B/s, suspected by all in "
             f"{entry['dead']['seconds_until_suspected']['max']:.1f} s, dead for all in "
             f"{entry['dead']['seconds_until_dead']['max']:.1f} s" for entry in largest)),
-        ("evidence exchange", "carrier-reports", f"report of {few['targets']} targets to {few['peers']} carriers: "
-                                          f"{few['bytes_with_traffic']} B, of {many['targets']} to {many['peers']}: "
-                                          f"{many['bytes_with_traffic']} B (a datagram takes {CODE.max_datagram})"),
+        ("evidence "
+         "exchange", "carrier-reports", f"report of {typical['targets']} targets to {typical['peers']} carriers: "
+                                        f"{typical['bytes_with_traffic']} B, of {large['targets']} to "
+                                        f"{large['peers']}: {large['bytes_with_traffic']} B (a datagram takes "
+                                        f"{SETTINGS.max_datagram})"),
         *[("limit shares", "carrier-reports", demand_text(reports["demand"], peers)) for peers in (5, PEERS)],
         ("limit shares", "fairness", "; ".join(
             f"{entry['members']} carriers, {entry['accounts']} accounts: {entry['core_us_per_s']:.0f} us/s"
@@ -71,19 +74,20 @@
         return []
     rows = []
     for entry in config["sizes"]:
-        one, cut = entry["log_up"], entry["one_in_four_cut_from_log"]
-        idle, busy = entry["costs"]["idle"], entry["costs"]["editing"]
-        named = max(answer["missing"] for answer in entry["answer_names_missing"]["answers"])
+        one, cut_off = entry["log_up"], entry["one_in_four_cut_from_log"]
+        idle, editing = entry["costs"]["idle"], entry["costs"]["editing"]
+        max_missing = max(response["missing"] for response in entry["answer_names_missing"]["answers"])
         rows.append((f"{entry['proxies']} real proxies", "config",
                      f"edit in force everywhere p50 {seconds(one['everywhere_seconds']['p50'])}, max "
                      f"{seconds(one['everywhere_seconds']['max'])}; one in four cut from the log: p50 "
-                     f"{seconds(cut['everywhere_seconds']['p50'])}, max {seconds(cut['everywhere_seconds']['max'])}; "
-                     f"missing {one['missing'] + cut['missing']}, reverts {entry['reverts']}; the answer names up to {named} "
-                     f"as missing; ready with log {seconds(entry['start_with_log']['max'])}, from peers "
+                     f"{seconds(cut_off['everywhere_seconds']['p50'])}, max "
+                     f"{seconds(cut_off['everywhere_seconds']['max'])}; missing {one['missing'] + cut_off['missing']}, "
+                     f"reverts {entry['reverts']}; the answer names up to {max_missing} as missing; ready with log "
+                     f"{seconds(entry['start_with_log']['max'])}, from peers "
                      f"{seconds(entry['start_from_peers']['max'])}; idle {core_text(idle['processor_share'])}, "
                      f"{bytes_text(idle['resident_bytes'])}, {bytes_text(idle['sent_bytes_per_second'])}/s sent; at "
-                     f"{busy['edits_per_second']:.0f} edits/s {core_text(busy['processor_share'])}, "
-                     f"{bytes_text(busy['sent_bytes_per_second'])}/s"))
+                     f"{editing['edits_per_second']:.0f} edits/s {core_text(editing['processor_share'])}, "
+                     f"{bytes_text(editing['sent_bytes_per_second'])}/s"))
     for what in ("rows", "services", "targets"):
         memory, core, rate = (slope(config, what, "idle", field) for field in (
             "resident_bytes", "processor_share", "sent_bytes_per_second"))
@@ -121,5 +125,5 @@
 def source_row(measured, role, name, text):
     record = measured[name]
     load = record.get("machine_before")
-    busy = f"{load['load_average'][0]:.0f} on {load['cores']} cores" if load else "not noted"
-    return [role, text, f"`{record['command']}`", busy]
+    machine_load = f"{load['load_average'][0]:.0f} on {load['cores']} cores" if load else "not noted"
+    return [role, text, f"`{record['command']}`", machine_load]
--- a/scripts/capacityplan.py
+++ b/scripts/capacityplan.py
@@ -1,15 +1,15 @@
-"""What the arithmetic of docs/CAPACITY.md starts from: the plan's sizes, the code's settings, and how figures are shown."""
+"""Inputs of the arithmetic of docs/CAPACITY.md: the planned sizes, the code's settings, and formatting of figures."""
 from math import ceil
 
 NOT_MEASURED = "not measured"
 
 
 class PLAN:
-    """The size to design for, and the budget of a node."""
+    """The design size of the fleet, and the budget of a node."""
     nodes = 6_600
     targets = 58_000
     services = 3_500
-    requests = 1_800_000  # a second
+    requests = 1_800_000  # per second
     routes = 19_000
     accounts = 220_000
     domains = 6
@@ -23,43 +23,44 @@
     in_force_seconds = 5
 
 
-class CODE:
-    """Settings of the code that the arithmetic goes by."""
+class SETTINGS:
+    """Settings of the code that the arithmetic uses."""
     tick_seconds = 0.1  # src/app/proxyprocess.cpp
-    per_domain = 2  # carriers, PlacementSettings
-    targets_per_carrier = 1
+    proxies_per_domain = 2  # proxies assigned to a service, PlacementSettings
+    targets_per_proxy = 1
     locate_lifetime = 10  # seconds
-    readers_per_domain = 2  # ConfigSync::Settings
-    peer_silence = 5
+    log_readers_per_domain = 2  # ConfigSync::Settings
+    peer_timeout = 5
     gossip_interval = 1
     poll_wait = 2
     push_fanout = 4
-    vm_list_readers = 32  # a second, over the fleet
+    vm_list_readers = 32  # per second, over the fleet
     snapshot_interval = 600
-    evidence_interval = 1  # QuietInterval, src/policy/targethealth.cpp
+    evidence_interval = 1  # QuietInterval, src/policy/targethealthprivate.h
     urgent_interval = 0.2
     demand_interval = 1  # FleetSharesSettings
-    probe_answer_limit = 0.6  # of a member, MembershipSettings
+    probe_timeout = 0.6  # for a response of a member, MembershipSettings
     probe_interval = 0.025 / (0.02 * 4) * 1.1  # ProbePlan
     connections_per_target = 330
     transmit_factor = 4  # MembershipSettings
     update_budget = 600
     samples = 4
-    messages_in = 4  # probes and answers that a member receives a second
+    messages_received = 4  # probes and responses that a member receives per second
     max_datagram = 1_400
-    headers = 28  # UDP and IP
-    changes_per_replacement = 5  # leaving, dead, joined, ready, forgotten: each is another list of members
+    header_bytes = 28  # UDP and IP
+    changes_per_replacement = 5  # leaving, dead, joined, ready, forgotten: each changes the member list
 
 
 DAY = 86_400
-EDITS = PLAN.edits_a_day / DAY
+EDITS_PER_SECOND = PLAN.edits_a_day / DAY
 TARGETS_PER_SERVICE = PLAN.targets / PLAN.services
-CARRIERS = max(CODE.per_domain * PLAN.domains, ceil(TARGETS_PER_SERVICE / CODE.targets_per_carrier))
-CARRIED = PLAN.services * CARRIERS / PLAN.nodes
-PEERS = CARRIERS - 1
-PAIRS = CARRIED * PEERS
-REQUESTS = PLAN.requests / PLAN.nodes
-REPLACED = (PLAN.replacements_a_day + PLAN.failures_a_day) / DAY
+PROXIES_PER_SERVICE = max(SETTINGS.proxies_per_domain * PLAN.domains,
+                          ceil(TARGETS_PER_SERVICE / SETTINGS.targets_per_proxy))
+SERVICES_PER_NODE = PLAN.services * PROXIES_PER_SERVICE / PLAN.nodes
+PEERS = PROXIES_PER_SERVICE - 1
+PEER_PAIRS = SERVICES_PER_NODE * PEERS
+REQUESTS_PER_NODE = PLAN.requests / PLAN.nodes
+REPLACEMENTS_PER_SECOND = (PLAN.replacements_a_day + PLAN.failures_a_day) / DAY
 ACCOUNTS_PER_SERVICE = PLAN.accounts / PLAN.services
 
 
@@ -83,12 +84,12 @@
 
 
 def benchmark_us(report, name):
-    """Returns the processor time of one step, in microseconds, as Google Benchmark writes it in nanoseconds."""
+    """Returns the processor time of one iteration in microseconds. Google Benchmark reports it in nanoseconds."""
     return next(entry["cpu_time"] for entry in report["benchmarks"] if entry["name"] == name) / 1e3
 
 
 def slope(config, what, phase, field, per_proxy=1.0):
-    """Returns by how much a figure grows with one more of `what`, between the two sizes measured."""
+    """Returns the growth of a figure per additional `what`, between the smallest and the largest size measured."""
     entries = sorted((entry for entry in config["slopes"] if entry["varies"] == what), key=lambda entry: entry[what])
     if len(entries) < 2:
         return None
@@ -97,7 +98,7 @@
 
 
 def fits(memory=0.0, rate=0.0, core=0.0):
-    """Says which parts of the budget one role alone passes."""
+    """Returns which parts of the budget one role alone exceeds, as text."""
     over = []
     for name, value, budget in (("memory", memory, PLAN.memory), ("bytes", rate, PLAN.bytes_per_second),
                                 ("processor", core, PLAN.core_share)):
--- a/scripts/lintbatches.py
+++ b/scripts/lintbatches.py
@@ -1,8 +1,9 @@
 """Lints sources with clang-tidy, several at a time: scripts/lintbatches.py BUILD_FOLDER SOURCE...
 
-Most of the time that clang-tidy takes goes into the headers that all sources share. So sources of one folder that are
-compiled alike are linted as one. Where that finds anything, each of them is linted alone, and that verdict counts: names
-of two sources may collide in one. Prints the findings; ends with 1 if there are any.
+Most of the time of clang-tidy is spent on headers that all sources share, so sources of one folder with the same
+compiler flags are linted as one batch. If a batch has findings, each of its sources is linted alone and only that
+result counts, because names of two sources may collide in a batch. Prints the findings and exits with 1 if there are
+any.
 """
 
 import collections
@@ -17,45 +18,45 @@
 
 
 def flags_of(command):
-    """The command of a compilation without its input and output."""
+    """Returns the arguments of a compile command without its input and output."""
     words = command.split()
     before = [None, *words]
     return tuple(word for word, previous in zip(words, before) if not {word, previous} & {"-o", "-c"})
 
 
 def is_program(path):
-    """Programs of one folder have a main() each."""
+    """Returns whether the source has a main(). Such sources can't share a batch."""
     with open(path, encoding="utf-8") as source:
         return "\nint main(" in source.read()
 
 
 def tidy(folder, source):
-    """Returns whether the source is clean, and what was printed."""
+    """Returns whether the source is clean, and the output of clang-tidy."""
     run = subprocess.run(["clang-tidy", "-p", folder, "--quiet", f"--header-filter={OWN_HEADERS}", source],
                          stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True, check=False)
     return run.returncode == 0, run.stdout
 
 
 def batches_of(build, sources):
-    """Returns lists of sources of one folder that are compiled alike, with the flags."""
+    """Yields batches as (compiler flags, sources). The sources of a batch are in one folder and have the same flags."""
     with open(os.path.join(build, "compile_commands.json"), encoding="utf-8") as commands:
         flags = {entry["file"]: flags_of(entry["command"]) for entry in json.load(commands)}
-    alike = collections.defaultdict(list)
+    groups = collections.defaultdict(list)
     for source in sources:
         path = os.path.abspath(source)
         if path not in flags:
             sys.exit(f"{source}: not in {build}/compile_commands.json")
-        alike[os.path.dirname(path), flags[path]].append(path)
-    for (_, compiled), paths in alike.items():
+        groups[os.path.dirname(path), flags[path]].append(path)
+    for (_, compile_flags), paths in groups.items():
         programs = [path for path in paths if is_program(path)]
-        parts = [path for path in paths if path not in programs]
-        yield from ((compiled, [path]) for path in programs)
-        for first in range(0, len(parts), SOURCES_AT_ONCE):
-            yield compiled, parts[first:first + SOURCES_AT_ONCE]
+        others = [path for path in paths if path not in programs]
+        yield from ((compile_flags, [path]) for path in programs)
+        for first in range(0, len(others), SOURCES_AT_ONCE):
+            yield compile_flags, others[first:first + SOURCES_AT_ONCE]
 
 
 def write_batches(build, sources):
-    """Writes one source for each batch and the commands to compile them. Returns their folder and sources by batch."""
+    """Writes one source per batch and their compile commands. Returns their folder and the sources by batch."""
     folder = os.path.join(os.path.abspath(build), "lint")
     os.makedirs(folder, exist_ok=True)
     batches, commands = {}, []
@@ -75,9 +76,9 @@
     folder, batches = write_batches(build, sources)
     clean = True
     with concurrent.futures.ThreadPoolExecutor(len(os.sched_getaffinity(0))) as pool:
-        together = pool.map(lambda batch: tidy(folder, batch)[0], batches)
-        again = [path for paths, passed in zip(batches.values(), together) if not passed for path in paths]
-        for passed, printed in pool.map(lambda path: tidy(build, path), again):
+        batch_results = pool.map(lambda batch: tidy(folder, batch)[0], batches)
+        to_recheck = [path for paths, passed in zip(batches.values(), batch_results) if not passed for path in paths]
+        for passed, printed in pool.map(lambda path: tidy(build, path), to_recheck):
             clean = clean and passed
             if not passed:
                 print(printed)
--- a/scripts/measurefleet.py
+++ b/scripts/measurefleet.py
@@ -1,8 +1,8 @@
-"""A fleet of real proxies on loopback for scripts/measure-config and scripts/measure-members: starts it, edits its
-configuration, reads its state, and ends every process by its id.
+"""A fleet of real proxies on loopback for scripts/measure-config and scripts/measure-members. Starts the fleet, edits
+its configuration, reads its state, and ends every process by its id.
 
-Each proxy has an address of its own in 127.77.0.0/16, in one of three failure domains. Nothing calls the services, so
-all that the proxies spend is spent on control.
+Each proxy has its own address in 127.77.0.0/16 and is in one of three failure domains. The services get no requests, so
+the proxies use all their resources for the control plane.
 """
 import concurrent.futures
 import datetime
@@ -29,19 +29,19 @@
 PLATFORM_HOST = f"{NETWORK}.0.1"
 LOG_PORT = 7000
 VMS_PORT = 7001
-SILENT_PORT = 7999  # nothing listens here: the log address of proxies that are cut from the log
+UNUSED_PORT = 7999  # nothing listens here: the log address of proxies that are cut from the log
 CALLER_PORT, ADMIN_PORT, PEER_PORT = 8080, 8081, 8082
-PER_NETWORK = 200  # hosts used of each /24
+HOSTS_PER_NETWORK = 200  # hosts used of each /24
 SEEDS = 3
 DOMAINS = ("hall-a", "hall-b", "hall-c")
 READY_SECONDS = 40
-READERS = 8  # threads that read the proxies' state
+POLL_THREADS = 8  # threads that read the proxies' state
 CHANGES_PER_EDIT = 500
 TARGET_HOST = f"{NETWORK}.0.2"
 FIRST_TARGET_PORT = 20_000
-MOST_TARGETS = 5_000  # each takes a port
-TARGETS_PER_BLOCK = 1_000  # the most that one --listen of the stand-in opens
-BYTES_OF_HEADERS = 28  # UDP and IP, not in the proxies' counters
+MAX_TARGETS = 5_000  # each takes a port
+TARGETS_PER_BLOCK = 1_000  # maximum per --listen of the stand-in
+HEADER_BYTES = 28  # UDP and IP headers, which the proxies' counters exclude
 
 APPLIED = re.compile(rb'"applied":(\d+)')
 READS_LOG = re.compile(rb'"reads_log":true')
@@ -49,11 +49,11 @@
 
 
 def address_of(index):
-    return f"{NETWORK}.{1 + index // PER_NETWORK}.{1 + index % PER_NETWORK}"
+    return f"{NETWORK}.{1 + index // HOSTS_PER_NETWORK}.{1 + index % HOSTS_PER_NETWORK}"
 
 
 def quantile(values, share):
-    """Returns the value below which `share` of the values lie, or None without values."""
+    """Returns the value below which a fraction `share` of the values lies, or None without values."""
     if not values:
         return None
     ordered = sorted(values)
@@ -70,7 +70,7 @@
 
 
 def machine():
-    """What else a figure depends on."""
+    """Returns the properties of the machine that affect the results."""
     with open("/proc/meminfo", encoding="ascii") as file:
         memory = int(re.search(r"MemTotal:\s+(\d+)", file.read()).group(1))
     return {"cores": os.cpu_count(), "memory_mb": memory // 1024, "load_average": os.getloadavg(),
@@ -89,7 +89,7 @@
 
 
 class Usage:
-    """Processor time, memory and control bytes of one proxy at one moment."""
+    """Processor time, memory and control bytes of one proxy at one point in time."""
 
     def __init__(self, proxy):
         self.time = time.monotonic()
@@ -138,8 +138,8 @@
                     self.connection.connect()
                 self.connection.sock.settimeout(timeout)
                 self.connection.request(method, path, body, headers)
-                answer = self.connection.getresponse()
-                return answer.status, answer.read()
+                response = self.connection.getresponse()
+                return response.status, response.read()
             except (OSError, http.client.HTTPException):
                 self.connection = None
                 if attempt == 1:
@@ -159,18 +159,18 @@
             return False
 
     def applied(self):
-        """Returns the offset that the proxy's services are configured up to."""
+        """Returns the log offset up to which the proxy has applied the configuration."""
         return int(APPLIED.search(self.get("/-/status")).group(1))
 
     def reads_log(self):
-        """Returns true if the proxy reads the log now, for others or for itself."""
+        """Returns whether the proxy reads the log, for its failure domain or only for itself."""
         return READS_LOG.search(self.get("/-/status")) is not None
 
     def members_alive(self):
         return sum(member["status"] == "alive" for member in json.loads(self.get("/-/members")))
 
     def processor_seconds(self):
-        """Returns the processor time of all threads, in nanoseconds' steps where the system counts so finely."""
+        """Returns the processor time of all threads, with nanosecond resolution if the system provides it."""
         folder = pathlib.Path(f"/proc/{self.process.pid}/task")
         total = 0
         for task in folder.iterdir():
@@ -182,7 +182,7 @@
         return int(re.search(r"VmRSS:\s+(\d+)", text).group(1)) * 1024
 
     def events(self):
-        """Yields (time, number, rest of the line) of the events logged so far."""
+        """Yields (time, number, rest of the line) for each logged event."""
         if not self.log_file.exists():
             return
         for line in self.log_file.read_text(encoding="utf-8", errors="replace").splitlines():
@@ -201,7 +201,7 @@
 
 
 class Fleet:
-    """Log, VM list and proxies. Use it with `with`: all processes are ended, whatever happens."""
+    """The log, the VM list and the proxies. A context manager that always ends all processes."""
 
     def __init__(self, size, folder, cut_from_log=lambda index: False):
         self.folder = pathlib.Path(folder)
@@ -212,7 +212,7 @@
         self.platform = {}
         self.versions = {}
         self.vm_list_bytes_per_entry = None
-        self.pool = concurrent.futures.ThreadPoolExecutor(READERS)
+        self.pool = concurrent.futures.ThreadPoolExecutor(POLL_THREADS)
         self.key_files = (self.folder / "fleet.key", self.folder / "operator.key")
         self.key_files[0].write_text(secrets.token_hex(24) + "\n", encoding="ascii")
         self.key_files[1].write_text(self.operator_key + "\n", encoding="ascii")
@@ -224,7 +224,7 @@
             self.start_platform()
             for index in range(self.size):
                 self.proxies.append(self.start_proxy(index))
-            self.wait_until_met()
+            self.wait_until_joined()
         except BaseException:
             self.stop()
             raise
@@ -251,65 +251,65 @@
                 "failure_domain": DOMAINS[index % len(DOMAINS)], "state": "live"} for index in range(self.size + 8)]
         connection = http.client.HTTPConnection(PLATFORM_HOST, VMS_PORT, timeout=5)
         connection.request("POST", "/-/vms", json.dumps({"vms": vms}))
-        answer = connection.getresponse()
-        answer.read()
-        if answer.status != 200:
+        response = connection.getresponse()
+        response.read()
+        if response.status != 200:
             raise RuntimeError("the VM list was refused")
         connection.request("GET", "/vms")
         self.vm_list_bytes_per_entry = len(connection.getresponse().read()) / len(vms)
         connection.close()
 
     def start_targets(self, count):
-        if count > MOST_TARGETS:
-            raise RuntimeError(f"at most {MOST_TARGETS} targets")
+        if count > MAX_TARGETS:
+            raise RuntimeError(f"at most {MAX_TARGETS} targets")
         blocks = -(-count // TARGETS_PER_BLOCK)
-        each = -(-count // blocks)
-        command = [STANDIN, "target", "--count", str(each), "--threads", "1"]
+        per_block = -(-count // blocks)
+        command = [STANDIN, "target", "--count", str(per_block), "--threads", "1"]
         for block in range(blocks):
-            command += ["--listen", f"{TARGET_HOST}:{FIRST_TARGET_PORT + block * each}"]
+            command += ["--listen", f"{TARGET_HOST}:{FIRST_TARGET_PORT + block * per_block}"]
         self.platform["targets"] = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
         wait_for("targets", lambda: listens(TARGET_HOST, FIRST_TARGET_PORT + count - 1))
 
-    def end_platform(self, name):
-        """Ends "log", "vms" or "targets": nothing listens there any more."""
+    def stop_platform(self, name):
+        """Ends the process "log", "vms" or "targets", so that nothing listens on its ports."""
         self.platform[name].kill()
         self.platform[name].wait()
 
     def start_proxy(self, index, tag=""):
-        log_port = SILENT_PORT if self.cut_from_log(index) else LOG_PORT
+        log_port = UNUSED_PORT if self.cut_from_log(index) else LOG_PORT
         return Proxy(index, self.folder, self.key_files, self.operator_key, log_port, tag)
 
-    def each(self, action, proxies=None):
-        """Does something with all proxies, a few at a time."""
+    def map_proxies(self, action, proxies=None):
+        """Returns the results of `action` for all proxies, or the given ones. Runs POLL_THREADS at a time."""
         return list(self.pool.map(action, self.proxies if proxies is None else proxies))
 
-    def wait_until_met(self):
-        """Waits until every proxy is ready and knows all others."""
-        wait_for("proxies ready", lambda: all(self.each(Proxy.is_ready)))
+    def wait_until_joined(self):
+        """Waits until every proxy is ready and sees all members alive."""
+        wait_for("proxies ready", lambda: all(self.map_proxies(Proxy.is_ready)))
         wait_for("proxies know each other",
-                 lambda: all(count == self.size for count in self.each(Proxy.members_alive)))
+                 lambda: all(count == self.size for count in self.map_proxies(Proxy.members_alive)))
 
-    # The configuration.
+    # Configuration.
 
-    def submit(self, changes, through, wait_ms):
-        """Submits one edit and returns the answer."""
+    def submit(self, changes, proxy_index, wait_ms):
+        """Submits one edit and returns the response."""
         body = json.dumps({"v": 1, "id": secrets.token_hex(12), "changes": changes})
-        status, answer = self.proxies[through].request("POST", f"/-/edit?wait_ms={wait_ms}", body)
+        status, response = self.proxies[proxy_index].request("POST", f"/-/edit?wait_ms={wait_ms}", body)
         if status != 200:
-            raise RuntimeError(f"edit refused with {status}: {answer[:300]!r}")
-        return json.loads(answer)
+            raise RuntimeError(f"edit refused with {status}: {response[:300]!r}")
+        return json.loads(response)
 
-    def edit(self, changes, through=0, wait_ms=0):
-        """Submits one edit, based on the items as they stand, and returns the proxy's answer."""
+    def edit(self, changes, proxy_index=0, wait_ms=0):
+        """Submits one edit with the current versions of the items, and returns the response of the proxy."""
         for change in changes:
             change["version"] = self.versions.get(key_of(change), 0)
-        answer = self.submit(changes, through, wait_ms)
+        response = self.submit(changes, proxy_index, wait_ms)
         for change in changes:
-            self.versions[key_of(change)] = answer["offset"] + 1
-        return answer
+            self.versions[key_of(change)] = response["offset"] + 1
+        return response
 
     def fill(self, services, targets, rows):
-        """Sets so many services, targets and rows, the latter two spread evenly over the services. Starts the targets."""
+        """Starts the targets and adds services, targets and rows. Targets and rows spread evenly over the services."""
         self.start_targets(targets)
         changes = [service_change(number) for number in range(services)]
         changes += [target_change(number, number % services) for number in range(targets)]
@@ -318,21 +318,21 @@
         offset = None
         for begin in range(0, len(changes), CHANGES_PER_EDIT):
             offset = self.edit(changes[begin:begin + CHANGES_PER_EDIT])["offset"]
-        wait_for("table in force", lambda: all(applied > offset for applied in self.each(Proxy.applied)))
+        wait_for("table in force", lambda: all(applied > offset for applied in self.map_proxies(Proxy.applied)))
 
-    def edit_weight(self, number, services, weight, through=0, wait_ms=0):
-        return self.edit([row_change(number, number % services, weight)], through, wait_ms)
+    def edit_weight(self, number, services, weight, proxy_index=0, wait_ms=0):
+        return self.edit([row_change(number, number % services, weight)], proxy_index, wait_ms)
 
-    # Its costs.
+    # Resource usage.
 
     def usage_over(self, seconds, during=lambda end: None):
-        """Returns what each proxy spent in the next `seconds`, while `during` runs until the time it is given."""
-        before = self.each(Usage)
+        """Returns the usage of each proxy in the next `seconds`, while `during(end)` runs until the time `end`."""
+        before = self.map_proxies(Usage)
         end = time.monotonic() + seconds
         during(end)
         time.sleep(max(0.0, end - time.monotonic()))
-        after = self.each(Usage)
-        return [late.since(early) for early, late in zip(before, after)]
+        after = self.map_proxies(Usage)
+        return [later.since(earlier) for earlier, later in zip(before, after)]
 
 
 def key_of(change):
@@ -382,7 +382,7 @@
 
 
 def averaged(usages):
-    """Returns the means over the proxies, and the largest where one proxy's matters."""
+    """Returns the means over the proxies, and the maxima of memory, bytes sent and processor share."""
     result = {key: mean([usage[key] for usage in usages]) for key in usages[0]}
     result["largest_resident_bytes"] = max(usage["resident_bytes"] for usage in usages)
     result["largest_sent_bytes_per_second"] = max(usage["sent_bytes_per_second"] for usage in usages)
