--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -2,8 +2,8 @@
 // grows:
 // bench-config [--out FILE] [--rows N]
 //
-// With --peak, reports instead by how much the peak resident memory of the process exceeds that of its table alone. Each
-// variant runs in its own process:
+// With --peak, reports instead by how much the peak resident memory of the process exceeds that of its table alone.
+// Each variant runs in its own process:
 // bench-config --peak publish-whole|publish-parts|load-whole|load-parts [--rows N]
 #include <malloc.h>
 
--- a/scripts/capacitymeasures.py
+++ b/scripts/capacitymeasures.py
@@ -15,10 +15,9 @@
         ("caller side", "request-decisions", ", ".join(
             f"{name} {benchmark_us(decisions, name):.2f} us" for name in ("checkHeader", "proveIdentity", "planOneAttempt",
                                                                           "learnLatency", "runOnce"))),
-        ("caller "
-         "side", "fairness", f"fair queue {figures(measured, 'fairness')['cost']['fair_ns_per_request']:.0f} ns a "
-                             f"request and {figures(measured, 'fairness')['cost']['bytes_per_account']:.0f} B an "
-                             "account, with 10,000 accounts"),
+        ("caller side", "fairness",
+         f"fair queue {figures(measured, 'fairness')['cost']['fair_ns_per_request']:.0f} ns a request and "
+         f"{figures(measured, 'fairness')['cost']['bytes_per_account']:.0f} B an account, with 10,000 accounts"),
         ("evidence exchange", "health-cost", ", ".join(
             f"{name} {benchmark_us(health, name):.2f} us" for name in ("observe", "tick", "report", "chooseTarget"))),
         ("table", "config-table", f"{table['bytes_per_account']:.0f} B an account, {table['bytes_per_row']:.0f} a row, "
@@ -40,11 +39,10 @@
             f"{entry['members']:,}: {entry['bytes_sent_per_member_per_second']:.0f} B/s, suspected by all in "
             f"{entry['dead']['seconds_until_suspected']['max']:.1f} s, dead for all in "
             f"{entry['dead']['seconds_until_dead']['max']:.1f} s" for entry in largest)),
-        ("evidence "
-         "exchange", "carrier-reports", f"report of {typical['targets']} targets to {typical['peers']} carriers: "
-                                        f"{typical['bytes_with_traffic']} B, of {large['targets']} to "
-                                        f"{large['peers']}: {large['bytes_with_traffic']} B (a datagram takes "
-                                        f"{SETTINGS.max_datagram})"),
+        ("evidence exchange", "carrier-reports",
+         f"report of {typical['targets']} targets to {typical['peers']} carriers: {typical['bytes_with_traffic']} B, "
+         f"of {large['targets']} to {large['peers']}: {large['bytes_with_traffic']} B (a datagram takes "
+         f"{SETTINGS.max_datagram})"),
         *[("limit shares", "carrier-reports", demand_text(reports["demand"], peers)) for peers in (5, PEERS)],
         ("limit shares", "fairness", "; ".join(
             f"{entry['members']} carriers, {entry['accounts']} accounts: {entry['core_us_per_s']:.0f} us/s"
