--- a/bench/capacity.cpp
+++ b/bench/capacity.cpp
@@ -1,5 +1,5 @@
-// Measures what the control side of one proxy costs in a large fleet: the copies of the member list, placement, and the
-// table with its views. Processor time of one thread; prints JSON:
+// Measures the cost of the control plane of one proxy in a large fleet: copies of the member list, placement, and the
+// table with its views. Reports the processor time of one thread as JSON:
 // bench-capacity [--out FILE] [--members N]
 #include <malloc.h>
 
@@ -42,8 +42,8 @@
     return members;
 }
 
-// What every process does with the list of members: MemberService publishes a copy once a second, and each tick makes
-// copies, a fingerprint and the choice of those that read the log.
+// Measures the work of every process on the member list: MemberService publishes a copy once a second, and each tick
+// makes copies, computes a fingerprint and selects the members that read the log.
 boost::json::object memberList(std::size_t size)
 {
     const std::vector<Member> members = fleetOf(size);
@@ -66,7 +66,8 @@
     };
 }
 
-// Heap that a process's knowledge of the members takes: its own list, the list as handed out, and one published copy.
+// Measures the heap that the member state of a process takes: its own list, the list returned to callers of members(),
+// and one published copy.
 boost::json::object membershipMemory(std::size_t size)
 {
     const std::vector<Member> members = fleetOf(size);
@@ -89,7 +90,7 @@
              { "bytes_per_member", (heapBytes() - before) / static_cast<double>(size) } };
 }
 
-// The whole table, one process's share of the services, and what changes cost it.
+// Measures the size of the whole table and of the services assigned to one process, and the cost of changes to them.
 class AssignmentBench
 {
 public:
--- a/bench/carrierreports.cpp
+++ b/bench/carrierreports.cpp
@@ -1,5 +1,5 @@
-// Measures the reports that the assignedPeers of one service send each other: their size, how many are sent, and what
-// they cost. Prints JSON: bench-carrierreports [--out FILE]
+// Measures the reports that the proxies assigned to one service send each other: size, number and cost.
+// Prints JSON: bench-carrierreports [--out FILE]
 #include <algorithm>
 #include <fstream>
 #include <iostream>
@@ -21,8 +21,8 @@
 namespace
 {
 
-// One report of evidence between two assignedPeers of a typical service, as sealed for the wire without UDP and IP
-// headers.
+// Measures one evidence report between two proxies assigned to a typical service. Sizes are those of the sealed
+// message without UDP and IP headers.
 boost::json::object evidenceReport(std::size_t targets, std::size_t peers)
 {
     EvidenceReport report;
@@ -54,8 +54,9 @@
              { "unseal_us", unsealing } };
 }
 
-// The demand that one carrier of a service reports to the others while so many accounts call, and none of the others
-// reports: what goes out in a few seconds, by datagram, or by call where a report has no room in one.
+// Measures the demand that one proxy assigned to a service reports to the other assigned proxies while `accounts`
+// accounts send requests and no other proxy reports. Counts what is sent in a few seconds, by datagram, or by call
+// where a report doesn't fit into a datagram.
 class DemandBench
 {
 public:
@@ -121,10 +122,10 @@
 
 private:
     static constexpr int Steps = 50;
-    static constexpr Millis CallCompletionTime { 15 }; // for the calls of one step to end
+    static constexpr Millis CallCompletionTime { 15 }; // for the calls of one step
     inline static const PeerId Self { VmName("vm-10000"), 1 };
 
-    // Every account calls once, and is answered at once.
+    // Every account sends one request, which completes immediately.
     void sendRequestFromEveryAccount()
     {
         for (std::size_t number = 0; number < m_accounts; ++number) {
@@ -157,7 +158,7 @@
     boost::asio::io_context m_context;
     ServiceRegistry m_services;
     PeerTransport m_transport;
-    PeerTransport m_receiver; // stands for all peers
+    PeerTransport m_receiver; // receives for all peers
     ShareExchange m_exchange;
     ServiceStatePtr m_state;
     RequestId m_nextRequest = 1;
--- a/bench/config.cpp
+++ b/bench/config.cpp
@@ -1,7 +1,10 @@
-// Measures the table of the configuration: bytes per item, and what an edit, a snapshot and a digest cost as the table
-// grows. bench-config [--out FILE] [--rows N]
-// bench-config --peak publish-whole|publish-parts|load-whole|load-parts [--rows N] tells instead the peak of the
-// process's resident memory over that of its table alone, one variant in a process of its own.
+// Measures the configuration table: bytes per item, and the cost of an edit, a snapshot and a digest as the table
+// grows:
+// bench-config [--out FILE] [--rows N]
+//
+// With --peak, reports instead by how much the peak resident memory of the process exceeds that of its table alone.
+// Each variant runs in its own process:
+// bench-config --peak publish-whole|publish-parts|load-whole|load-parts [--rows N]
 #include <malloc.h>
 
 #include <chrono>
@@ -40,7 +43,7 @@
     return prefix + std::to_string(1'000'000 + number);
 }
 
-// Applies items in edits of many, and tells what they take.
+// Applies items in edits of ChangesPerEdit changes and measures the heap that they take.
 class TableFiller
 {
 public:
@@ -49,7 +52,7 @@
     {
     }
 
-    // Adds `count` items made by `make` and returns the bytes of heap that each took.
+    // Adds `count` items created by `make` and returns the heap bytes per item.
     template<typename Make>
     double fill(std::size_t count, Make make)
     {
@@ -91,7 +94,7 @@
     return ServiceName(numbered("svc", number));
 }
 
-// Fills a table with `rows` rows and as many accounts, and targets and services in proportion.
+// Fills a table with `rows` rows, the same number of accounts, and a proportional number of targets and services.
 void fillAll(ConfigTable &table, std::size_t rows)
 {
     TableFiller filler(table);
@@ -118,7 +121,7 @@
     });
 }
 
-// Returns a line of /proc/self/status in bytes.
+// Returns the value of a line of /proc/self/status in bytes, or 0 if there is no such line.
 double statusBytes(const std::string &name)
 {
     std::ifstream status("/proc/self/status");
@@ -137,7 +140,7 @@
     std::ofstream("/proc/self/clear_refs") << "5";
 }
 
-// The parts as a log would hold them, in files so that they take no memory here.
+// Appends a snapshot part to a file that stands in for the log, so that the parts take no memory in this process.
 void spool(const std::string &path, std::string part)
 {
     std::ofstream(path, std::ios::app) << part << '\n';
@@ -184,8 +187,8 @@
              { "over", statusBytes("VmHWM:") - before } };
 }
 
-// Returns what the table costs with `rows` rows and as many accounts, and targets and services in the proportion of the
-// size to design for.
+// Returns the costs of a table with `rows` rows, the same number of accounts, and targets and services in the
+// proportions of the design size.
 boost::json::object measure(std::size_t rows)
 {
     const std::size_t services = std::max<std::size_t>(1, rows * 3'500 / 220'000);
--- a/bench/fairness.cpp
+++ b/bench/fairness.cpp
@@ -1,5 +1,5 @@
-// Measures how fairly a service is shared: the policies themselves, on a virtual clock, against first come first served
-// and static limits per proxy. Prints tables and writes them as JSON to the file given as --json FILE.
+// Measures how fairly a service is shared. Runs the policies on a virtual clock and compares them with first come first
+// served and with static limits per proxy. Prints tables and writes them as JSON to the file given as --json FILE.
 #include <cstdio>
 #include <cstring>
 #include <fstream>
@@ -21,12 +21,12 @@
 
 constexpr double SmallRead = 0.02; // seconds
 constexpr double LargeDownload = 2; // seconds
-constexpr double OthersLoad = 0.8; // of what they are entitled to
-constexpr double GreedyLoad = 100; // times what it is entitled to
+constexpr double OthersLoad = 0.8; // relative to their entitlement
+constexpr double GreedyLoad = 100; // relative to its entitlement
 
 enum class Spread {
-    Even, // every account comes to every proxy alike
-    Skewed, // every account but the greedy one comes to a single proxy, half of them to the first
+    Even, // every account sends evenly to all proxies
+    Skewed, // every account but the greedy one uses a single proxy, half of them the first
 };
 
 struct Scenario {
@@ -36,7 +36,7 @@
     double greedyCost;
 };
 
-// Account 0 is greedy; the others' weights are 1, 2 and 3 in turn.
+// Account 0 is greedy. The weights of the other accounts cycle through 1, 2 and 3.
 std::vector<Load> loadsOf(const Scenario &scenario, const Settings &settings)
 {
     std::vector<Load> loads(scenario.accounts);
@@ -204,7 +204,7 @@
     return rows;
 }
 
-// Slot-time per second that was answered in time, between two seconds.
+// Returns the mean goodput in [from, to): slot-time per second of requests that completed before their deadline.
 double goodput(const SimulationResult &outcome, int from, int to)
 {
     double sum = 0;
@@ -216,8 +216,8 @@
 
 struct OverloadPhase {
     const char *name;
-    double load; // of the capacity, overloadGoodput the phase
-    double capacityShare; // of the slots, overloadGoodput the phase
+    double load; // relative to the capacity, in this phase
+    double capacityShare; // of the slots, in this phase
 };
 
 constexpr int OverloadStart = 20;
--- a/bench/fairnessmodel/limitmodel.h
+++ b/bench/fairnessmodel/limitmodel.h
@@ -12,17 +12,19 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// How one account's fleet-wide rate limit held while its demand moved.
+// How well one account's fleet-wide rate limit was kept while its demand moved. Rates and utilizations are
+// fractions of the limit.
 struct LimitOutcome {
-    double maxSteadyRate = 0; // the most that was admitted in any second of steady demand, as a part of the limit
-    double maxMovingRate = 0; // the same in the seconds after demand moved
-    double steadyUtilization = 0; // admitted in steady demand spread over all proxies, as a part of the limit
-    double movedUtilization = 0; // admitted with all demand at one proxy, once settled, as a part of the limit
-    double settleSeconds = 0; // from the move until 95% of the limit were admitted
-    double reportsPerSecond = 0; // of one proxy
+    double maxSteadyRate = 0; // maximum admitted in one second of steady demand
+    double maxMovingRate = 0; // maximum admitted in one second after the demand moved
+    double steadyUtilization = 0; // mean admitted rate with steady demand at all proxies
+    double movedUtilization = 0; // mean admitted rate with all demand at one proxy, once settled
+    double settleSeconds = 0; // from the move until 95% of the limit is admitted
+    double reportsPerSecond = 0; // sent by one proxy
 };
 
-// Sends three times a rate limit: evenly to all proxies, then all to one. Reports take 2 ms.
+// Simulates demand of three times a rate limit: first evenly at all proxies, then at one only. Reports take 2 ms to
+// arrive.
 class LimitModel
 {
 public:
@@ -83,7 +85,7 @@
 private:
     static constexpr double Overload = 3;
 
-    // Returns how many requests were admitted within one second.
+    // Returns the number of requests admitted within one second.
     double runSecond(bool toOneProxy)
     {
         double admitted = 0;
--- a/bench/fairnessmodel/metrics.h
+++ b/bench/fairnessmodel/metrics.h
@@ -6,7 +6,7 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// Returns the smallest value that `share` of the values don't exceed; 0 without values.
+// Returns the smallest value that a fraction `share` of the values doesn't exceed, or 0 without values.
 inline double quantile(std::vector<double> values, double share)
 {
     if (values.empty()) {
@@ -18,7 +18,7 @@
     return values[index];
 }
 
-// Returns Jain's index of the values: 1 if all are equal, 1 / n if one has all.
+// Returns Jain's fairness index of the values: 1 if all are equal, 1 / n if only one is nonzero.
 inline double jainIndex(const std::vector<double> &values)
 {
     double sum = 0;
@@ -30,7 +30,7 @@
     return squares == 0 ? 1 : sum * sum / (static_cast<double>(values.size()) * squares);
 }
 
-// Returns what each is entitled to of a capacity: in proportion to weight, and no more than it asked for.
+// Returns the weighted max-min fair shares of a capacity: in proportion to the weights, and at most the demand of each.
 inline std::vector<double> maxMinFairShares(const std::vector<double> &demands,
                                             const std::vector<double> &weights,
                                             double capacity)
--- a/bench/fairnessmodel/sharecost.h
+++ b/bench/fairnessmodel/sharecost.h
@@ -11,15 +11,15 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// What sharing out the limits of one service costs one member.
+// The cost for one member of dividing the limits of one service among the members.
 struct ShareCost {
     double coreMicroseconds = 0; // of processor time per second
     double reports = 0; // sent per second, to each other member
-    double accountsPerSecond = 0; // named in those reports
+    double accountsPerSecond = 0; // listed in those reports
 };
 
-// Runs `members` members for a minute of virtual time. All of `accounts` accounts have a limit and demand everywhere,
-// which varies by a fifth from second to second.
+// Runs `members` members for a minute of virtual time. Each of the `accounts` accounts has a limit and demand at every
+// member. The demand varies by a fifth from second to second.
 inline ShareCost measureShareCost(std::size_t members, AccountIndex accounts)
 {
     constexpr int RunSeconds = 60;
--- a/bench/fairnessmodel/simulation.h
+++ b/bench/fairnessmodel/simulation.h
@@ -16,7 +16,7 @@
 namespace mulberryplank::fairnessmodel
 {
 
-// Clients, proxies with a scheduler each, and the targets of one service, on a virtual clock.
+// Simulates clients, proxies with one scheduler each, and the targets of one service, on a virtual clock.
 class Simulation
 {
 public:
@@ -55,7 +55,7 @@
 
 private:
     static constexpr double TickSeconds = 0.1;
-    static constexpr double MaxReadCost = 0.2; // mean slot-time in seconds; above, the route is another
+    static constexpr double MaxReadCost = 0.2; // mean slot-time in seconds; accounts above it use another route
     static constexpr double NetworkDelay = 0.002;
 
     struct Event {
@@ -214,7 +214,8 @@
         }
     }
 
-    // A client whose request was not run comes back, with its full time anew, as an impatient one would.
+    // A client whose request was not executed retries with a new, full deadline. This is the behavior of a client that
+    // doesn't limit its total time.
     void onRejected(Request request)
     {
         if (request.retriesLeft == 0) {
@@ -243,7 +244,7 @@
         return m_used[proxy] < m_capacityShares[proxy] * slots();
     }
 
-    // Proxies within their proxyShare of the slots take free ones first, the others what is left.
+    // Proxies that use less than their share of the slots take free slots first. The other proxies take the rest.
     void dispatchAll()
     {
         const bool sharesCapacity = m_settings.policy == Policy::FairQueue && m_settings.shareCapacity;
@@ -316,7 +317,7 @@
         dispatchAll();
     }
 
-    // What a proxy does by its clock: exchange reports, follow shares, bound the queue.
+    // The periodic work of the proxies: send reports, apply shares, bound the queue.
     void tick()
     {
         for (std::size_t proxy = 0; proxy < m_shares.size(); ++proxy) {
--- a/bench/health.cpp
+++ b/bench/health.cpp
@@ -1,9 +1,9 @@
-// Measures the judgement of targets on a virtual clock: for every kind of fault, setting and simpler detector the time
-// until a hasFault target is out of service at every proxy, and the requests that it harmed meanwhile; and over a day
-// of healthy traffic of every service the healthy targets that were taken out.
+// Measures the health detection of targets on a virtual clock. For every kind of fault, detection setting and baseline
+// detector it reports the time until a faulty target is out of service at every proxy, and the requests harmed
+// until then. For a day of healthy traffic of every service it reports the healthy targets that were ejected.
 //
-// bench-health [--quick] [--faults N] [--json FILE], or bench-health --search N; --faults N: only the faults, N runs of
-// each
+// bench-health [--quick] [--faults N] [--json FILE], or bench-health --search N
+// --faults N runs only the faults, N runs of each.
 
 #include <atomic>
 #include <chrono>
@@ -30,7 +30,7 @@
     int runsPerSetting = 60; // per kind of fault and setting
     int runsPerBaseline = 20;
     double healthyHours = 24; // per service
-    int healthyRuns = 3; // runs that share these hours, for the threads' sake
+    int healthyRuns = 3; // runs that share these hours, so that they run in parallel
 };
 
 struct Run {
@@ -51,7 +51,7 @@
         for (int part = 0; part < plan.healthyRuns; ++part) {
             Run run;
             run.settings.service = service;
-            // The most cautious one ejects least, so that nearly all excursions of suspicion are seen at full height.
+            // The most cautious setting ejects least, so nearly all excursions of suspicion reach their full height.
             run.settings.detector = FaultDetectorKind::Cautious;
             run.settings.shadows = { FaultDetectorKind::ConsecutiveErrors, FaultDetectorKind::LatencyOutlier };
             run.settings.seed = FirstSeed + static_cast<std::uint64_t>(part);
@@ -142,7 +142,8 @@
     return summary.toJson();
 }
 
-// Returns the decisive suspicion that ejects, for each setting, with as many proxies as the model has.
+// Returns, for each setting, the decisive suspicion at which a target is ejected, with the simulation's number of
+// proxies.
 boost::json::object thresholds()
 {
     boost::json::object result;
--- a/bench/healthmodel/faultdetector.h
+++ b/bench/healthmodel/faultdetector.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The detectors that are compared: ours, and two simple ones that recordDetections at one proxy's traffic only.
+// The detectors that are compared: ServiceHealth, and two baselines that use the traffic of one proxy only.
 
 #include <algorithm>
 #include <memory>
@@ -33,10 +33,10 @@
     std::size_t targets = 0;
     double floorShare = 0.5;
     std::uint64_t seed = 0;
-    bool active = true; // false: only watches
+    bool active = true; // false: a shadow that observes the traffic and doesn't affect it
 };
 
-// One proxy's opinion of one service's targets.
+// Detects the faulty targets of one service at one proxy.
 class FaultDetector
 {
 public:
@@ -51,15 +51,15 @@
     virtual TargetPhase phase(TargetIndex target) const = 0;
     virtual double weight(TargetIndex target) const = 0;
     virtual Duration expectedLatency(TargetIndex target) const = 0;
-    // The target is about to be replaced: it takes no new work.
+    // Marks the target as about to be replaced: it receives no new requests.
     virtual void setLeaving(TargetIndex)
     {
     }
-    // A new target stands in this one's position, cold.
+    // Replaces the target at this position by a new one, which is cold.
     virtual void replace(TargetIndex, Instant)
     {
     }
-    // Ours only.
+    // Returns the detector's ServiceHealth, or nullptr for the baselines.
     virtual ServiceHealth *health()
     {
         return nullptr;
@@ -141,8 +141,8 @@
     std::vector<int> m_generations; // per position
 };
 
-// What both simple detectors share: ejection of up to half of the targets for a time that grows by a fixed step, then
-// full traffic again.
+// Common base of the two baseline detectors. Ejects up to half of the targets, as the floor allows, for a time that
+// grows by a fixed step with each ejection. A target gets full traffic again afterwards.
 class BaselineDetector : public FaultDetector
 {
 public:
@@ -221,7 +221,7 @@
 private:
     std::size_t m_maxEjected;
     bool m_active;
-    Detector m_latency; // only for expectedLatency(), so that the choice of target is the same for all
+    Detector m_latency; // only for expectedLatency(), so that all detectors choose targets alike
 };
 
 class ConsecutiveErrorsDetector : public BaselineDetector
--- a/bench/healthmodel/healthsimulation.h
+++ b/bench/healthmodel/healthsimulation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One service on a virtual clock: scripted targets with 4 slots, and proxies that choose among them by the policy
-// objects of the product.
+// Simulates one service on a virtual clock: scripted targets with 4 slots, and proxies that select targets with the
+// policy classes of the product.
 
 #include <cmath>
 #include <functional>
@@ -24,25 +24,25 @@
     ServiceModel service;
     Fault fault;
     FaultDetectorKind detector = FaultDetectorKind::Fast;
-    std::vector<FaultDetectorKind> shadows; // detector the same traffic without effect
+    std::vector<FaultDetectorKind> shadows; // detectors that observe the same traffic without effect
     std::uint64_t seed = 1;
     Duration length = Seconds { 100 };
-    double wavePeriod = 300; // seconds; load swings by half
+    double wavePeriod = 300; // seconds; the load varies by half around its mean
     double reportLoss = 0.01;
-    Duration firstDeploy = Seconds { 1'000'000 }; // replaces every target, one after the other
+    Duration firstDeploy = Seconds { 1'000'000 }; // replaces the targets one by one
     Duration deployEvery = Seconds { 21'600 };
-    // Called for each event of the judges that decide, with the seconds since the start; may be empty.
+    // Called for each event of the active detectors, with the seconds since the start. May be empty.
     std::function<void(double, std::size_t proxy, const HealthEvent &)> onEvent = {};
 };
 
 struct HealthSimulationResult {
     double requests = 0;
     double harmed = 0; // by the fault
-    double harmedOnTrial = 0; // of these, on trial
-    double unserved = 0; // no target had room
+    double harmedOnTrial = 0; // of these, by targets on trial
+    double unserved = 0; // no target could take the request
     double sheds = 0;
-    std::vector<double> detection; // seconds from onset, per hasFault target; negative if it kept traffic
-    double floorViolations = 0; // ticks with too few targets left in the union of all views
+    std::vector<double> detection; // seconds from onset, per target with a fault; negative if a proxy never detected it
+    double floorViolations = 0; // ticks with too few targets left in the union of all proxies' views
     double falseEjections = 0; // of a healthy target, by any proxy; counted once a minute and target
     double allSlowEvents = 0;
     std::vector<double> shadowFalseEjections;
@@ -155,7 +155,7 @@
         std::unique_ptr<FaultDetector> detector;
         std::vector<std::unique_ptr<FaultDetector>> shadows;
         std::vector<ConcurrencyLimit> limits;
-        std::vector<std::vector<Duration>> startTimes; // start of each request under way, per target
+        std::vector<std::vector<Duration>> startTimes; // start of each request in flight, per target
         std::vector<Load> loads;
         std::vector<double> detectedAt;
         Duration lastReport = Seconds { -10 };
@@ -219,7 +219,7 @@
             receive(event.argument);
             break;
         case Kind::Pause:
-            // A pause of the whole process, as by garbage collection: part of healthy life.
+            // A pause of the whole process, for instance by garbage collection. It occurs in healthy targets too.
             m_targets[event.argument].pausedUntil = m_now + fromSeconds(0.1 + 0.3 * uniform());
             push(nextPauseTime(), Kind::Pause, event.argument);
             break;
@@ -261,7 +261,8 @@
         const double rate = m_settings.service.requestsPerSecond * wave;
         push(m_now + fromSeconds(-std::log(1 - uniform()) / rate), Kind::Arrival, 0);
         ++m_result.requests;
-        // Callers aren't spread evenly: the busiest proxy gets about three times the traffic of the idlest.
+        // Callers aren't evenly distributed: the most loaded proxy gets about three times the traffic of the
+        // least loaded one.
         const double pick = uniform();
         const auto proxy = static_cast<std::uint32_t>(std::pow(pick, 1.5) * Proxies);
         double route = uniform();
@@ -470,7 +471,7 @@
 
     void receive(std::uint32_t)
     {
-        // All take equally long, so they arrive in the order in which they were sent.
+        // All messages have the same delay, so they arrive in the order in which they were sent.
         const Message message = std::move(m_messages.front());
         m_messages.pop();
         m_proxies[message.to].detector->health()->merge(m_proxies[message.from].id, message.report, instant(m_now));
@@ -515,7 +516,7 @@
         }
     }
 
-    // Several proxies that eject the same target at about the same time are one false ejection.
+    // Ejections of the same target by several proxies at about the same time count as one false ejection.
     void countFalseEjection(std::size_t detector, std::uint32_t target, double &count)
     {
         double &last = m_lastFalseEjection[detector * m_targets.size() + target];
@@ -540,8 +541,8 @@
         m_result.floorViolations += ejected > 0 && inService < floor ? 1 : 0;
     }
 
-    // Keeps the height of each excursion of a healthy target's joint suspicion, from which the rate of false ejections
-    // at any threshold follows.
+    // Records the peak of each excursion of a healthy target's joint suspicion. The rate of false ejections at any
+    // threshold follows from the peaks.
     void recordPeaks()
     {
         const ServiceHealth *health = m_proxies[0].detector->health();
--- a/bench/healthmodel/scenario.h
+++ b/bench/healthmodel/scenario.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the measurement of health runs: services, their traffic, and the faults of their targets.
+// The scenarios of the health measurement: services, their traffic, and the faults of their targets.
 
 #include <array>
 #include <cstdint>
@@ -28,11 +28,12 @@
     RouteModel { 0.10, 4.0, true },
 };
 
-// Service times are lognormal with a Pareto tail, the same for all targets but for a fixed factor per target.
+// Service times are lognormal with a Pareto tail. The distribution is the same for all targets except for a fixed
+// factor per target.
 struct ServiceModel {
     std::string name;
     std::size_t targets = 6;
-    double requestsPerSecond = 100; // on average over a wave
+    double requestsPerSecond = 100; // on average over one period of the load wave
     double medianSeconds = 0.030; // of the first route
     double floorShare = 0.5;
 };
@@ -87,7 +88,7 @@
 struct Fault {
     FaultKind kind = FaultKind::None;
     Duration onset {};
-    double slowFactor = 1; // of service time while hasFault
+    double slowFactor = 1; // of the service time while the fault is active
     double errorShare = 0;
     double truncatedShare = 0;
     double wrongBodyShare = 0;
@@ -95,7 +96,7 @@
     bool reportsZeroLoad = false;
     int onlyRoute = -1;
     int onlyProxy = -1;
-    Duration flapPeriod {}; // half of it hasFault, half of it well
+    Duration flapPeriod {}; // faulty for one half, healthy for the other; 0: no flapping
     std::size_t faultyTargets = 1;
 };
 
--- a/bench/healthmodel/search.h
+++ b/bench/healthmodel/search.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Searches the faults' parameters for those that harmed most requests before, and in spite of, ejection.
+// Searches the parameters of faults for those that harm most requests before and despite ejection.
 
 #include <algorithm>
 #include <atomic>
@@ -16,8 +16,8 @@
 
 struct SearchResult {
     Fault fault;
-    double harmedShare = 0; // of the requests that the target would get when well, in the time after the onset
-    double detection = 0; // seconds, negative: not within the run
+    double harmedShare = 0; // of the requests that the target would get if healthy, in the time after the onset
+    double detection = 0; // seconds; negative if not detected within the run
 };
 
 inline std::string describe(const Fault &fault)
@@ -31,7 +31,7 @@
 {
     std::uniform_real_distribution<double> uniform(0, 1);
     Fault fault = faultOf(FaultKind::Slow10, 1);
-    // Below these bounds a target is worse than others but hardly hasFault.
+    // Below these bounds a target is worse than the other targets, but hardly faulty.
     const bool slow = uniform(random) < 0.6;
     fault.slowFactor = slow ? 3 * std::exp(uniform(random) * std::log(10)) : 1;
     fault.errorShare = slow && uniform(random) < 0.7 ? 0 : 0.05 + 0.5 * std::pow(uniform(random), 2);
--- a/bench/healthmodel/summary.h
+++ b/bench/healthmodel/summary.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Sums up many runs into the rows of the tables.
+// Aggregates many runs into the rows of the tables.
 
 #include <algorithm>
 #include <cmath>
--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -1,5 +1,5 @@
-// Measures membership on virtual time: how soon a dead, a paused and a half-deaf member is noticed, and what messages,
-// bytes and processor time it costs each member. Prints JSON: bench-members [--out FILE] [SIZE...]
+// Measures membership on virtual time: how soon the other members detect a member that is dead, paused or receives
+// nothing, and the messages, bytes and processor time per member. Prints JSON: bench-members [--out FILE] [SIZE...]
 #include <algorithm>
 #include <ctime>
 #include <fstream>
@@ -22,7 +22,7 @@
 
 constexpr Seconds IdleTime { 10 };
 constexpr Seconds FaultTime { 20 };
-constexpr std::size_t LargeFleet = 2'000; // from here on one fault of each kind is tried
+constexpr std::size_t LargeFleet = 2'000; // from this size on, one fault of each kind is tried
 constexpr std::size_t Faults = 5;
 
 double processorSeconds()
@@ -30,7 +30,7 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-// What a message takes on the wire: sealed, within UDP and IP headers.
+// Returns the size of a message on the wire: sealed, with UDP and IP headers.
 std::size_t wireSize(const MembershipMessage &message)
 {
     constexpr std::size_t UdpAndIpHeaders = 28;
@@ -44,7 +44,8 @@
     return UdpAndIpHeaders + Envelope + encode(message).size();
 }
 
-// When each other member first suspected the victim, and when it first took it for dead, in seconds after the fault.
+// The times at which each other member first suspected the victim and first declared it dead, in seconds after the
+// fault.
 struct DetectionTimes {
     std::vector<double> suspected;
     std::vector<double> dead;
@@ -127,7 +128,7 @@
     VirtualFleet fleet(size, {}, 1);
     fleet.startAll();
     fleet.introduceAll();
-    // The news of everyone's start has to run dry before the fleet is idle.
+    // The fleet is idle only after the updates about the start of all members have been disseminated.
     fleet.run(IdleTime);
     fleet.sizeOf = wireSize;
     const auto totals = [&fleet] {
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -1,6 +1,7 @@
-// Measures placement: how much moves when a member leaves or joins, against modulo and a ring; how evenly services
-// spread; what it costs, from scratchSeconds and kept up to date; and whether widening a service's set by load helps a
-// suddenly popular service. Prints JSON: bench-placement [--out FILE]
+// Measures placement: how many assignments move when a member leaves or joins, compared with modulo and a hash ring;
+// how evenly services are distributed; the cost of full recomputation and of incremental updates; and whether widening
+// a service's set of proxies by load helps a service whose load rises suddenly. Prints JSON:
+// bench-placement [--out FILE]
 #include <algorithm>
 #include <cmath>
 #include <ctime>
@@ -28,7 +29,7 @@
 constexpr std::size_t Services = 3'500;
 constexpr std::size_t ProxiesPerService = 12; // two in each failure domain
 constexpr std::size_t SampledServices = 350; // for the comparison, which places each service many times
-constexpr std::size_t RingPoints = 100; // of each member
+constexpr std::size_t RingPoints = 100; // per member
 
 using PlacementFunction = std::function<std::set<std::string>(std::size_t service, const std::vector<Member> &members)>;
 
@@ -75,7 +76,7 @@
     return chosen;
 }
 
-// The ring is built once per member list.
+// Returns consistent hashing over a ring that is built once for this member list.
 PlacementFunction byRing(const std::vector<Member> &members)
 {
     std::map<std::uint64_t, std::string> ring;
@@ -96,7 +97,7 @@
     };
 }
 
-// The share of all places that are held by another member afterwards.
+// Returns the share of all assignments that move to another member.
 double movedShare(const PlacementFunction &before,
                   const std::vector<Member> &old,
                   const PlacementFunction &after,
@@ -165,7 +166,8 @@
     return static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-// A VM is replaced: its member goes, and later another comes. Both ways of following it, at the same members.
+// Measures the replacement of VMs: one member leaves, and another joins later. Compares incremental updates of the
+// index with a full recomputation, for the same members.
 boost::json::object memberChange()
 {
     constexpr std::size_t Replacements = 100;
@@ -210,8 +212,9 @@
              { "services_that_differ_from_scratch", differing } };
 }
 
-// A service gets popular at once, up to what its targets can do. The fixed set is sized by the targets, the widened one
-// by the load that was seen. Callers keep their answer for its lifetime, so a wider set comes into use over that time.
+// Measures a sudden rise of a service's load to the capacity of its targets. The size of the fixed set depends on the
+// targets, that of the widened set on the observed load. Callers cache their locate response for its lifetime, so the
+// use of a wider set grows over that time.
 boost::json::object widening(std::size_t targets, double millisPerRequest)
 {
     const PlacementSettings settings;
@@ -223,7 +226,7 @@
         static_cast<double>(assignedProxies(serviceName(0), members, settings, { targets, peak }).size());
     const double overloadBefore = peak / fixed / settings.requestsPerProxy;
     const double overloadAfter = peak / widened / settings.requestsPerProxy;
-    // Halfway through the lifetime half of the callers still know the old set only.
+    // Halfway through the lifetime, half of the callers still use the old set.
     const double overloadHalfway = (0.5 * peak / fixed + 0.5 * peak / widened) / settings.requestsPerProxy;
     return { { "targets", targets },
              { "millis_per_request", millisPerRequest },
