--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -228,15 +228,17 @@
         self.store_link = Link(store.server.server_port)
         self.listen_port, self.ready_port = base, base + 1
         self.log = os.path.join(folder, f"gateway-{number}.log")
-        self.command = [program, "gateway", "--vm", self.name, "--failure-domain", "hall",
-                        "--listen", f"{LOOPBACK}:{base}", "--ready", f"{LOOPBACK}:{base + 1}",
-                        "--locate", f"{LOOPBACK}:{base + 2}", "--peer", f"{LOOPBACK}:{base + 3}",
-                        "--store", f"{LOOPBACK}:{self.store_link.port}", "--grace-s", "4", "--locate-lifetime-s", "1"]
+        self.program = program  # takes effect at the next start
+        self.arguments = ["gateway", "--vm", self.name, "--failure-domain", "hall",
+                          "--listen", f"{LOOPBACK}:{base}", "--ready", f"{LOOPBACK}:{base + 1}",
+                          "--locate", f"{LOOPBACK}:{base + 2}", "--peer", f"{LOOPBACK}:{base + 3}",
+                          "--store", f"{LOOPBACK}:{self.store_link.port}", "--grace-s", "4",
+                          "--locate-lifetime-s", "1"]
         self.process = None
 
     def start(self):
         with open(self.log, "ab") as log:
-            self.process = subprocess.Popen(self.command, stdout=log, stderr=log)
+            self.process = subprocess.Popen([self.program, *self.arguments], stdout=log, stderr=log)
 
     def signal(self, number):
         if self.process.poll() is None:
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,10 +1,14 @@
-"""A randomized soak of real gateway processes: soak/run.py PROGRAM SEED SECONDS [FOLDER]
+"""A randomized soak of real gateway processes: soak/run.py PROGRAM[,PROGRAM...] SEED SECONDS [FOLDER]
 
 The seed selects a series of overlapping faults. The soak checks these invariants from what callers and targets observe:
 a non-idempotent request runs at most once; a request rejected as not run did not run; a response belongs to its request
 and is complete; a draining target gets no requests more than three seconds later; a change of routes takes effect and
 stays; gateways serve again after the faults. Exits with 1 and prints the violations if there are any, and keeps the
 gateways' logs.
+
+Several programs, such as an old and a new build, run side by side in one fleet: gateway number i starts with program
+i modulo their count, and each restart of a gateway takes the next program in the list. soak.log then records which
+gateway starts with which program, numbered from 0.
 """
 
 import collections
@@ -29,7 +33,7 @@
 
 
 class Soak:
-    def __init__(self, program, seed, seconds, folder):
+    def __init__(self, programs, seed, seconds, folder):
         self.random = random.Random(seed)
         # Below the system's ephemeral ports, and distinct from the ports of parallel soaks with other seeds.
         first_port = 12_000 + seed % 500 * 40
@@ -46,7 +50,9 @@
         self.version = 0
         self.targets = [Target(self.store, service, number, 0.02) for service in ("a", "b") for number in range(4)]
         self.drained_targets = []
-        self.gateways = [Gateway(program, self.store, first_port, number, folder) for number in range(GATEWAYS)]
+        self.programs = programs
+        self.gateways = [Gateway(programs[0], self.store, first_port, number, folder) for number in range(GATEWAYS)]
+        self.next_programs = {gateway: number % len(programs) for number, gateway in enumerate(self.gateways)}
         self.configure("a")
 
     def configure(self, service):
@@ -102,6 +108,20 @@
         with open(os.path.join(self.folder, "soak.log"), "a", encoding="utf-8") as log:
             print(now.isoformat(timespec="milliseconds"), *fields, file=log)
 
+    def start(self, gateway):
+        """Starts a gateway with the next program in the list."""
+        number = self.next_programs[gateway]
+        self.next_programs[gateway] = (number + 1) % len(self.programs)
+        gateway.program = self.programs[number]
+        if len(self.programs) > 1:
+            self.record("start", gateway.name, "program", number)
+        gateway.start()
+
+    def restart_stopped_gateways(self):
+        for gateway in self.gateways:
+            if gateway.process.poll() is not None:
+                self.start(gateway)
+
     def fault(self):
         """Starts a random fault. Returns its name and a function that ends it."""
         gateway = self.random.choice(self.gateways)
@@ -146,8 +166,7 @@
         active_faults = []
         until = time.monotonic() + self.seconds
         while time.monotonic() < until:
-            for gateway in self.gateways:
-                gateway.restart()
+            self.restart_stopped_gateways()
             duration = self.random.uniform(0.2, 2)
             name, end = self.fault()
             self.record("begin", name)
@@ -169,8 +188,7 @@
         """Restarts stopped gateways until all run, then lets the callers send requests without faults."""
         until = time.monotonic() + 6
         while time.monotonic() < until:
-            for gateway in self.gateways:
-                gateway.restart()
+            self.restart_stopped_gateways()
             time.sleep(0.1)
         self.faults_over = True
         time.sleep(3)
@@ -193,7 +211,7 @@
 
     def run(self):
         for gateway in self.gateways:
-            gateway.start()
+            self.start(gateway)
         threads = [threading.Thread(target=self.run_caller, args=(self.random.getrandbits(32),), daemon=True)
                    for _ in range(CALLERS)]
         threads.append(threading.Thread(target=send_heartbeats, args=(self,), daemon=True))
@@ -215,10 +233,10 @@
 
 
 def main():
-    program, seed, seconds = sys.argv[1], int(sys.argv[2]), float(sys.argv[3])
+    programs, seed, seconds = sys.argv[1].split(","), int(sys.argv[2]), float(sys.argv[3])
     folder = sys.argv[4] if len(sys.argv) > 4 else tempfile.mkdtemp(prefix="mulberryplank-soak-")
     os.makedirs(folder, exist_ok=True)
-    soak = Soak(program, seed, seconds, folder)
+    soak = Soak(programs, seed, seconds, folder)
     violations = soak.run()
     print(f"soak: seed {seed}: {dict(soak.statuses)}, after the faults {dict(soak.statuses_after_faults)}, "
           f"violations {len(violations)}")
