--- a/src/net/discoveryclienttest.cpp
+++ b/src/net/discoveryclienttest.cpp
@@ -223,7 +223,7 @@
     CHECK_EQUAL(5, fixture.client->routes()->version);
 }
 
-// Failure: requests are handled by an older configuration than the moment before.
+// Guards against requests that are handled by an older configuration than the requests before them.
 TEST(DiscoveryClient, versionNeverDecreases)
 {
     ClientFixture fixture;
@@ -270,7 +270,7 @@
     CHECK_TRUE(fixture.runUntilConfigured());
 }
 
-// Failure: a process uses an old configuration for as long as the store rejects it.
+// Guards against a process that uses an old configuration for as long as the store rejects it.
 TEST(DiscoveryClient, processRejectedByTheStoreUpdatesFromAPeer)
 {
     ClientFixture healthy;
@@ -381,7 +381,8 @@
     CHECK_TRUE(fixture.listChanges >= 3);
 }
 
-// Failure: a target that leaves gets requests for seconds because the store no longer keeps the records after the list.
+// Guards against a target that gets requests for seconds after it has left, because the store no longer keeps
+// the records after the list.
 TEST(DiscoveryClient, droppedHistoryOfTargetsLeadsToTheNewestList)
 {
     ClientFixture fixture;
@@ -414,7 +415,8 @@
     CHECK_TRUE(fixture.ensureTargets());
 }
 
-// Failure: requests go to the target of a record that another writer has overwritten, or all targets are lost.
+// Guards against requests to the target of a record that another writer has overwritten, and against the loss of all
+// targets by such a record.
 TEST(DiscoveryClient, unreadableRecordRemovesOnlyItsOwnTarget)
 {
     ClientFixture fixture;
@@ -465,7 +467,8 @@
     CHECK_EQUAL(0, fixture.store.calls["newest targets"]);
 }
 
-// Failure: for a second after each change the lists of targets arrive too late, and gateways read them from the store.
+// Guards against lists of targets that arrive too late for a second after each change, so that gateways read them from
+// the store.
 TEST(DiscoveryClient, onlyChangedTargetsAreSent)
 {
     ClientFixture readerFixture;
@@ -501,7 +504,8 @@
     CHECK_EQUAL(99, fixture.client->directory().targets().size());
 }
 
-// Failure: after a fleet's start every process reads all targets from a store that has just served that start.
+// Guards against every process reading all targets, after a fleet's start, from a store that has just served that
+// start.
 TEST(DiscoveryClient, readerThatIsStillReadingIsQueriedAgain)
 {
     ClientFixture readerFixture;
@@ -520,7 +524,7 @@
     CHECK_EQUAL(0, fixture.store.calls["newest targets"]);
 }
 
-// Failure: a target gets requests more than three seconds after it announced that it leaves.
+// Guards against requests to a target more than three seconds after it announced that it leaves.
 TEST(DiscoveryClient, readerWithAnOldListIsNotWaitedFor)
 {
     ClientFixture readerFixture;
@@ -539,7 +543,7 @@
     CHECK_EQUAL(0, fixture.store.calls["newest targets"]); // the records after the old list are enough
 }
 
-// Failure: a process uses its old list during an outage although other processes have a newer one.
+// Guards against a process that uses its old list during an outage although other processes have a newer one.
 TEST(DiscoveryClient, oldListThatIsNewerThanTheOwnOneIsApplied)
 {
     ClientFixture readerFixture;
@@ -562,7 +566,7 @@
     }));
 }
 
-// Failure: whole lists are sent over and over during an outage.
+// Guards against whole lists being sent over and over during an outage.
 TEST(DiscoveryClient, oldListIsNotSentToAProcessThatHasIt)
 {
     ClientFixture readerFixture;
@@ -601,7 +605,7 @@
     }));
 }
 
-// Failure: a fleet's first start costs the store two calls for each process.
+// Guards against a fleet's first start that costs the store two calls for each process.
 TEST(DiscoveryClient, processWithoutConfigurationWaitsForItsReader)
 {
     ClientFixture readerFixture;
@@ -619,7 +623,7 @@
     CHECK_EQUAL(0, fixture.store.calls.size());
 }
 
-// Failure: after a loss of all power, requests of the first half second are rejected, and their callers don't retry.
+// Guards against rejecting requests of the first half second after a loss of all power. Their callers don't retry.
 TEST(DiscoveryClient, requestBeforeTheFirstRoutesWaitsForThem)
 {
     ClientFixture fixture;
@@ -669,7 +673,7 @@
     CHECK_FALSE(fixture.ensureTargets());
 }
 
-// Failure: all processes use an old configuration for seconds although the store serves all but the readers.
+// Guards against all processes using an old configuration for seconds although the store serves all but the readers.
 TEST(DiscoveryClient, configurationIsReadFromTheStoreWhenTheReaderIsRejected)
 {
     ClientFixture readerFixture;
@@ -691,7 +695,7 @@
     CHECK_TRUE(fixture.runUntilInForce(2));
 }
 
-// Failure: an outage of the store costs thousands of calls.
+// Guards against an outage of the store that costs thousands of calls.
 TEST(DiscoveryClient, manyProcessesRetryRarelyDuringAnOutage)
 {
     ClientFixture reader;
@@ -728,7 +732,7 @@
     CHECK_EQUAL(0, many.firstRecoveries);
 }
 
-// Failure: a gateway uses an old configuration for seconds, and its log doesn't show the reason.
+// Guards against a gateway that uses an old configuration for seconds while its log doesn't show the reason.
 TEST(DiscoveryClient, failedReadIsLoggedWithItsSource)
 {
     ClientFixture fixture;
@@ -740,7 +744,7 @@
     STRCMP_EQUAL("store", fixture.failedSources.front().c_str());
 }
 
-// Failure: a gateway gets a new configuration ten seconds late although it received a hint.
+// Guards against a gateway that gets a new configuration ten seconds late although it received a hint.
 TEST(DiscoveryClient, hintDuringAQueryIsNotLost)
 {
     ClientFixture readerFixture;
@@ -767,7 +771,7 @@
     CHECK_FALSE(static_cast<bool>(fixture.onEmptyResponse));
 }
 
-// Failure: gateways of an older version fill their links with a configuration that they can't use.
+// Guards against gateways of an older version that fill their links with a configuration that they can't use.
 TEST(DiscoveryClient, unreadableConfigurationIsFetchedOnlyOnce)
 {
     ClientFixture other;
@@ -792,7 +796,7 @@
     CHECK_EQUAL(1, fixture.client->routes()->version);
 }
 
-// Failure: a gateway saturates its link and uses an old configuration although the store has the newest one.
+// Guards against a gateway that saturates its link and uses an old configuration although the store has the newest one.
 TEST(DiscoveryClient, corruptConfigurationFromAPeerIsReadFromTheStore)
 {
     ClientFixture other;
--- a/src/net/discoveryfleettest.cpp
+++ b/src/net/discoveryfleettest.cpp
@@ -142,7 +142,8 @@
     }
 }
 
-// Failure: after a suspension, a process uses its old list during an outage though other processes have a newer one.
+// Guards against a process that, after a suspension, uses its old list during an outage although other processes have a
+// newer one.
 TEST(DiscoveryFleet, processThatReconnectsDuringAnOutageLearnsWhichTargetsLeft)
 {
     constexpr Duration LearnedWithin = Millis(500);
@@ -167,8 +168,8 @@
     }
 }
 
-// Failure: processes wait for several unresponsive processes, one after the other, before they query a store that
-// serves them.
+// Guards against processes that wait for several unresponsive processes, one after the other, before they query a store
+// that serves them.
 TEST(DiscoveryFleet, unresponsiveReaderDoesNotKeepOthersFromTheStore)
 {
     constexpr Duration LearnedWithin = Millis(1'300); // half a second after the next regular read has started
@@ -191,7 +192,7 @@
     }
 }
 
-// Failure: lists are too old when the store serves no ingress proxy.
+// Guards against lists that are too old when the store serves no ingress proxy.
 TEST(DiscoveryFleet, listsAreKnownInTimeWhenNoIngressProxyIsServed)
 {
     for (const std::uint64_t seed : { 40, 50 }) {
--- a/src/net/fleetregistrytest.cpp
+++ b/src/net/fleetregistrytest.cpp
@@ -77,7 +77,7 @@
     STRCMP_EQUAL("10.0.0.1:7000", toString(registry.joined["10.0.0.2"].seeds.front().peer).c_str());
 }
 
-// Failure: a fleet splits into two parts that don't communicate.
+// Guards against a fleet that splits into two parts that don't communicate.
 TEST(FleetRegistry, processesThatStartTogetherAgreeOnOneKey)
 {
     RegistryFixture registry;
@@ -109,7 +109,7 @@
     CHECK_TRUE(registry.runUntilJoined(1));
 }
 
-// Failure: the store calls of each process at a fleet's start grow with the number of processes.
+// Guards against store calls per process at a fleet's start that grow with the number of processes.
 TEST(FleetRegistry, firstStartOfManyCostsOneReadEachAndOneAppend)
 {
     constexpr int Processes = 64;
@@ -137,7 +137,7 @@
     CHECK_EQUAL(1, registry.store.calls.size());
 }
 
-// Failure: a process never joins when the platform wrongly reports a first start.
+// Guards against a process that never joins when the platform wrongly reports a first start.
 TEST(FleetRegistry, wronglyAnnouncedFirstStartFindsTheKeyAfterItsHistoryExpired)
 {
     RegistryFixture registry;
--- a/src/net/largeconfigurationtest.cpp
+++ b/src/net/largeconfigurationtest.cpp
@@ -1,4 +1,4 @@
-// Failure: a gateway uses an old configuration for more than ten seconds while its link is saturated.
+// Guards against a gateway that uses an old configuration for more than ten seconds while its link is saturated.
 #include "mulberryplank/net/discoveryclient.h"
 
 #include <charconv>
@@ -245,7 +245,7 @@
     CHECK_TRUE(steps < Bound);
 }
 
-// Failure: while the configuration changes repeatedly, no version is put in force.
+// Guards against a configuration that changes repeatedly, of which no version is put in force.
 TEST(LargeConfiguration, changesInQuickSuccessionAreInForceInTime)
 {
     ReaderAndFollower fleet;
--- a/src/net/seedpublishertest.cpp
+++ b/src/net/seedpublishertest.cpp
@@ -130,7 +130,7 @@
     CHECK_EQUAL(1, fixture.appends());
 }
 
-// Failure: a restarted process stays isolated and serves forever with only its own knowledge.
+// Guards against a restarted process that stays isolated and serves forever with only its own knowledge.
 TEST(SeedPublisher, isolatedProcessReadsTheSeedsAgain)
 {
     PublisherFixture fixture;
@@ -150,7 +150,7 @@
     CHECK_EQUAL(0, fixture.store.calls.size());
 }
 
-// Failure: after its recovery, a store gets a call each second from each seed.
+// Guards against a store that gets a call each second from each seed after its recovery.
 TEST(SeedPublisher, failedRegistrationIsNotRetriedAtEachCheck)
 {
     PublisherFixture fixture;
