--- a/include/mulberryplank/net/reportbatch.h
+++ b/include/mulberryplank/net/reportbatch.h
@@ -11,7 +11,7 @@
 
 // Delays reports for other processes that are not urgent, so that several are sent in one datagram. A report has 15
 // bytes and the overhead of its datagram is ten times as large, for each receiver. Failures are not delayed: a process
-// that doesn't receive the report loses a request of its own to the faulty target. Not synchronized.
+// that doesn't receive the report loses a request of its own to the faulty target. Thread-compatible.
 class ReportBatch
 {
 public:
--- a/include/mulberryplank/policy/configurationsender.h
+++ b/include/mulberryplank/policy/configurationsender.h
@@ -11,7 +11,7 @@
 
 // Provides the configuration in force to other processes. It is compressed and sent in pieces. A receiver that has the
 // previous configuration gets only the difference: many processes share the link of the process that they request it
-// from, and usually a single line has changed. Not synchronized.
+// from, and usually a single line has changed. Thread-compatible.
 class ConfigurationSender
 {
 public:
--- a/include/mulberryplank/policy/configurationtransfer.h
+++ b/include/mulberryplank/policy/configurationtransfer.h
@@ -40,7 +40,7 @@
 
 // Reassembles a compressed configuration from pieces, which may come from different processes. Received pieces are kept
 // when a request fails, so the next request continues there. Restarting after each failure would never finish over a
-// link on which the transfer takes longer than the time between two failures. Not synchronized.
+// link on which the transfer takes longer than the time between two failures. Thread-compatible.
 class ConfigurationTransfer
 {
 public:
--- a/include/mulberryplank/policy/detector.h
+++ b/include/mulberryplank/policy/detector.h
@@ -71,7 +71,7 @@
 double latencyTestStep(double rank, double exponent);
 
 // Turns the attempts of one process at one service's targets into a suspicion per target. Each target is always
-// compared with the service's other targets over the same seconds and the same route. Not synchronized.
+// compared with the service's other targets over the same seconds and the same route. Thread-compatible.
 class Detector
 {
 public:
--- a/include/mulberryplank/policy/evidence.h
+++ b/include/mulberryplank/policy/evidence.h
@@ -87,7 +87,7 @@
     std::size_t observers = 0; // proxies that have sent it requests recently
 };
 
-// Keeps the newest evidence of each peer and combines it. Not synchronized.
+// Keeps the newest evidence of each peer and combines it. Thread-compatible.
 class JointEvidence
 {
 public:
--- a/include/mulberryplank/policy/faultmodel.h
+++ b/include/mulberryplank/policy/faultmodel.h
@@ -24,7 +24,7 @@
 // A model of targets that become faulty and recover by themselves. Each response or failure updates the fault
 // probability by Bayes' rule, from its likelihood at a faulty and at a healthy target. Between responses the
 // probability drifts towards the current share of faulty targets of the service. An attempt without a response is
-// evidence as well, weighed by the share of healthy targets' responses that take as long. Not synchronized.
+// evidence as well, weighed by the share of healthy targets' responses that take as long. Thread-compatible.
 class FaultModel
 {
 public:
--- a/include/mulberryplank/policy/floor.h
+++ b/include/mulberryplank/policy/floor.h
@@ -34,7 +34,7 @@
 // claims have expired.
 //
 // The floor is guaranteed while the proxies' views of the service's assigned proxies differ by one proxy at most.
-// docs/pages/health.md describes what happens beyond that. Not synchronized.
+// docs/pages/health.md describes what happens beyond that. Thread-compatible.
 class EjectionClaims
 {
 public:
--- a/include/mulberryplank/policy/hedge.h
+++ b/include/mulberryplank/policy/hedge.h
@@ -17,7 +17,7 @@
 };
 
 // Estimates when the response of a route is late. Memory use is constant: latencies are counted in buckets that grow by
-// a fifth, so the result exceeds the true quantile by a fifth at most. Not thread-safe.
+// a fifth, so the result exceeds the true quantile by a fifth at most. Thread-compatible.
 class HedgeDelay
 {
 public:
--- a/include/mulberryplank/policy/logposition.h
+++ b/include/mulberryplank/policy/logposition.h
@@ -37,7 +37,7 @@
 LogCheckResult checkLog(Offset applied, const RecordDigest &last, LogPage page);
 
 // Decides when a snapshot has to be published. The log keeps records for a limited time, so records and snapshots both
-// expire; a proxy that starts after that would find neither. Not synchronized.
+// expire; a proxy that starts after that would find neither. Thread-compatible.
 class SnapshotSchedule
 {
 public:
--- a/include/mulberryplank/policy/membership.h
+++ b/include/mulberryplank/policy/membership.h
@@ -67,7 +67,7 @@
 // A member that responds to other members but not to this process has a faulty path to this process. It stays alive,
 // and the event MemberOneWay reports in which direction the path is cut.
 //
-// Time is passed in through arguments only and must not go back. Not synchronized.
+// Time is passed in through arguments only and must not go back. Thread-compatible.
 class Membership
 {
 public:
--- a/include/mulberryplank/policy/overload.h
+++ b/include/mulberryplank/policy/overload.h
@@ -16,7 +16,7 @@
 
 // Computes how many requests of a service may wait in this process from the capacity of its targets. The bound falls
 // with the capacity immediately, so that no request waits longer than `maxWait`. It grows back gradually, so that
-// rejected callers that retry together don't fill the queue all at the same time. Not synchronized.
+// rejected callers that retry together don't fill the queue all at the same time. Thread-compatible.
 class OverloadControl
 {
 public:
--- a/include/mulberryplank/policy/peerchoice.h
+++ b/include/mulberryplank/policy/peerchoice.h
@@ -13,7 +13,8 @@
 {
 
 // Remembers the processes that recently didn't respond, or responded without what was requested. Each request to an
-// unresponsive process costs the full timeout, and dead members are detected only after some seconds. Not synchronized.
+// unresponsive process costs the full timeout, and dead members are detected only after some seconds.
+// Thread-compatible.
 class RecentlyFailedPeers
 {
 public:
--- a/include/mulberryplank/policy/placementindex.h
+++ b/include/mulberryplank/policy/placementindex.h
@@ -13,7 +13,7 @@
 
 // Keeps the assigned proxies of every service up to date as members and services change. Always holds exactly what
 // assignedProxies() returns for the same members. A change of a member costs time in proportion to the services that it
-// affects, plus one score per service when a member joins. Not synchronized.
+// affects, plus one score per service when a member joins. Thread-compatible.
 class PlacementIndex
 {
 public:
--- a/include/mulberryplank/policy/routestatistics.h
+++ b/include/mulberryplank/policy/routestatistics.h
@@ -9,7 +9,7 @@
 namespace mulberryplank
 {
 
-// Latencies and response sizes of a route's recent successes. Not synchronized.
+// Latencies and response sizes of a route's recent successes. Thread-compatible.
 class RouteStatistics
 {
 public:
--- a/include/mulberryplank/policy/snapshotparts.h
+++ b/include/mulberryplank/policy/snapshotparts.h
@@ -15,7 +15,7 @@
 std::vector<std::string> splitSnapshot(Offset next, std::string_view snapshot);
 
 // Produces the same log records of a table's snapshot as splitSnapshot(). Records are encoded one at a time, and the
-// data of those already returned is freed. The table may change meanwhile. Not synchronized.
+// data of those already returned is freed. The table may change meanwhile. Thread-compatible.
 class SnapshotParts
 {
 public:
@@ -43,7 +43,7 @@
 std::optional<Offset> snapshotEndedBy(std::string_view record);
 
 // Reassembles snapshots from the records of the log. Parts from several publishers may be mixed, since the same offset
-// gives the same bytes. Not synchronized.
+// gives the same bytes. Thread-compatible.
 class SnapshotAssembler
 {
 public:
--- a/include/mulberryplank/policy/storeretry.h
+++ b/include/mulberryplank/policy/storeretry.h
@@ -22,7 +22,7 @@
     Duration maxSharedDelay = Seconds(5);
 };
 
-// Decides when a process may call the store again after failures. Not synchronized.
+// Decides when a process may call the store again after failures. Thread-compatible.
 class StoreRetry
 {
 public:
--- a/include/mulberryplank/policy/targetbalancer.h
+++ b/include/mulberryplank/policy/targetbalancer.h
@@ -105,7 +105,7 @@
 // most, so suspected targets are tried with idempotent requests first.
 //
 // Some requests are sent to targets that no process has used for a while. Otherwise the few targets that appear healthy
-// would receive every request, and nothing would be learned about targets that were avoided before. Not synchronized.
+// would receive every request, and nothing would be learned about targets that were avoided before. Thread-compatible.
 class TargetBalancer
 {
 public:
