--- a/include/mulberryplank/policy/atmostonceregistry.h
+++ b/include/mulberryplank/policy/atmostonceregistry.h
@@ -58,7 +58,7 @@
 
 enum class AtMostOnceDecisionKind : std::uint8_t {
     Run, // first time: run it, then call finishWithResponse() or finishFailed()
-    Replay, // return `answer` again
+    Replay, // return `response` again
     InProgress, // currently running: RepeatInProgress
     ForwardTo, // process `incarnation` decides; this one must not run it
     Unknown, // it may have run, and no process can tell: RepeatUnknown
@@ -75,7 +75,7 @@
 
 struct AtMostOnceDecision {
     AtMostOnceDecisionKind kind = AtMostOnceDecisionKind::Unknown;
-    std::shared_ptr<const StoredResponse> answer; // Replay
+    std::shared_ptr<const StoredResponse> response; // Replay
     Incarnation incarnation = 0; // ForwardTo
     Duration retryAfter {}; // Full
 };
@@ -120,7 +120,7 @@
                              RequestSource source = RequestSource::Caller);
 
     // Ends a Run with the target's complete response.
-    void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse answer);
+    void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse response);
 
     // Ends a failed Run: NotRun frees the key for a new run, Unknown blocks it permanently.
     void finishFailed(const AccountName &account, std::string_view key, Outcome outcome);
@@ -148,7 +148,7 @@
         std::uint64_t fingerprint = 0;
         std::uint64_t sequence = 0; // order of arrival, to break ties
         EntryState state = EntryState::Running;
-        std::shared_ptr<const StoredResponse> answer;
+        std::shared_ptr<const StoredResponse> response;
         Instant forgetAt;
 
         bool operator<(const Entry &other) const;
--- a/src/net/callersessionatmostonce.cpp
+++ b/src/net/callersessionatmostonce.cpp
@@ -98,9 +98,9 @@
     LocalResponse response;
     switch (decision.kind) {
     case AtMostOnceDecisionKind::Replay:
-        response.status = decision.answer->status;
-        response.body = decision.answer->body;
-        response.fields = decision.answer->headers;
+        response.status = decision.response->status;
+        response.body = decision.response->body;
+        response.fields = decision.response->headers;
         response.fields.emplace_back(internal::ReplayHeader, "1");
         co_return co_await respond(request, std::move(response));
     case AtMostOnceDecisionKind::InProgress:
--- a/src/policy/atmostonceregistry.cpp
+++ b/src/policy/atmostonceregistry.cpp
@@ -164,20 +164,20 @@
     return first(account, service, key, parsed->token, fingerprint, now);
 }
 
-void AtMostOnceRegistry::finishWithResponse(const AccountName &account, std::string_view key, StoredResponse answer)
+void AtMostOnceRegistry::finishWithResponse(const AccountName &account, std::string_view key, StoredResponse response)
 {
     Entry *entry = find(account, key);
     if (entry == nullptr || entry->state != EntryState::Running) {
         return;
     }
     entry->state = EntryState::Responded;
-    const std::size_t bytes = answer.size();
+    const std::size_t bytes = response.size();
     if (bytes > m_settings.maxResponseBytes || bytes > m_settings.maxResponseBytesPerAccount) {
         return;
     }
     AccountUse &use = m_use[account];
     makeRoomForResponse(use, bytes);
-    entry->answer = std::make_shared<const StoredResponse>(std::move(answer));
+    entry->response = std::make_shared<const StoredResponse>(std::move(response));
     use.responseBytes += bytes;
     use.withResponse.push_back(*entry);
 }
@@ -230,11 +230,11 @@
 
 void AtMostOnceRegistry::dropResponse(Entry &entry)
 {
-    if (!entry.answer) {
+    if (!entry.response) {
         return;
     }
-    m_use[entry.account].responseBytes -= entry.answer->size();
-    entry.answer.reset();
+    m_use[entry.account].responseBytes -= entry.response->size();
+    entry.response.reset();
     static_cast<ResponseHook &>(entry).unlink();
 }
 
@@ -265,9 +265,9 @@
         entry.state = EntryState::Running;
         return internal::decision(AtMostOnceDecisionKind::Run);
     case EntryState::Responded:
-        if (entry.answer) {
+        if (entry.response) {
             AtMostOnceDecision result = internal::decision(AtMostOnceDecisionKind::Replay);
-            result.answer = entry.answer;
+            result.response = entry.response;
             return result;
         }
         return internal::decision(AtMostOnceDecisionKind::Unknown);
--- a/src/policy/atmostonceregistrytest.cpp
+++ b/src/policy/atmostonceregistrytest.cpp
@@ -46,7 +46,7 @@
     std::string text;
     int mayHaveRun = 0; // runs that can't be ruled out
     std::uint64_t fingerprint = 0; // of the request that ran
-    std::string answer; // of the run
+    std::string response; // of the run
 };
 
 struct FakeRun {
@@ -147,8 +147,8 @@
         }
         if (decision.kind == AtMostOnceDecisionKind::Replay) {
             RC_ASSERT(fingerprint == key.fingerprint);
-            RC_ASSERT(!key.answer.empty());
-            RC_ASSERT(decision.answer->body == key.answer);
+            RC_ASSERT(!key.response.empty());
+            RC_ASSERT(decision.response->body == key.response);
         }
         if (decision.kind == AtMostOnceDecisionKind::Full) {
             RC_ASSERT(key.mayHaveRun == 0);
@@ -183,8 +183,8 @@
             proxy.registry->finishFailed(key.account, key.text, Outcome::Unknown);
             break;
         default:
-            key.answer = "answer " + std::to_string(randomInt(0, 10));
-            proxy.registry->finishWithResponse(key.account, key.text, StoredResponse { 200, {}, key.answer });
+            key.response = "answer " + std::to_string(randomInt(0, 10));
+            proxy.registry->finishWithResponse(key.account, key.text, StoredResponse { 200, {}, key.response });
         }
     }
 
--- a/src/policy/forwardplantest.cpp
+++ b/src/policy/forwardplantest.cpp
@@ -88,8 +88,8 @@
             RC_ASSERT(mayHaveRun <= route.maxAttempts);
             RC_ASSERT(isIdempotent(kind) || mayHaveRun <= 1);
             RC_ASSERT((plan.outcome() == Outcome::NotRun) == (mayHaveRun == 0));
-            const ErrorInfo &answer = errorInfo(plan.finalError(false));
-            RC_ASSERT(mayHaveRun == 0 || (answer.status != 503 && answer.status != 429));
+            const ErrorInfo &info = errorInfo(plan.finalError(false));
+            RC_ASSERT(mayHaveRun == 0 || (info.status != 503 && info.status != 429));
         }
     }));
 }
