--- a/include/mulberryplank/policy/storeretry.h
+++ b/include/mulberryplank/policy/storeretry.h
@@ -11,10 +11,10 @@
 // in which each process retried on its own would be billed in proportion to the square of its size during an outage.
 struct StoreRetrySettings {
     // After a single failure, and the minimum delay. Typically only one call fails.
-    Duration first = Millis(250);
+    Duration initialDelay = Millis(250);
     // The delay, from the second failure on, of a process with which no other process shares its retries. It lets the
     // process learn of a change made as the store recovers one second before that change has to be in force.
-    Duration most = Millis(500);
+    Duration maxDelay = Millis(500);
     // How many calls per second all processes that share their retries make together. As soon as one of them succeeds,
     // it notifies the others, so a recovered store is detected within some hundred milliseconds.
     double sharedCallsPerSecond = 8;
--- a/src/net/discoveryclienttest.cpp
+++ b/src/net/discoveryclienttest.cpp
@@ -25,8 +25,8 @@
     {
         settings.targetsInterval = Millis(1);
         settings.retryInterval = Millis(1);
-        settings.storeRetry.first = Millis(1);
-        settings.storeRetry.most = Millis(1);
+        settings.storeRetry.initialDelay = Millis(1);
+        settings.storeRetry.maxDelay = Millis(1);
         settings.catchUpDelay = Millis(1);
         settings.targetsWait = Seconds(5);
     }
--- a/src/net/largeconfigurationtest.cpp
+++ b/src/net/largeconfigurationtest.cpp
@@ -37,8 +37,8 @@
     settings.retryInterval = Millis(25);
     settings.catchUpDelay = Millis(15);
     settings.configurationInterval = Seconds(1);
-    settings.storeRetry.first = Millis(25);
-    settings.storeRetry.most = Millis(50);
+    settings.storeRetry.initialDelay = Millis(25);
+    settings.storeRetry.maxDelay = Millis(50);
     return settings;
 }
 
--- a/src/policy/storeretry.cpp
+++ b/src/policy/storeretry.cpp
@@ -37,15 +37,15 @@
 Duration StoreRetry::delayFor(std::size_t sharingProcesses) const
 {
     if (m_failures <= 1) {
-        return m_settings.first;
+        return m_settings.initialDelay;
     }
     if (sharingProcesses == 0) {
-        return m_settings.most;
+        return m_settings.maxDelay;
     }
     const auto share =
         std::chrono::duration<double>(static_cast<double>(sharingProcesses) / m_settings.sharedCallsPerSecond);
     const Duration delay = std::chrono::duration_cast<Duration>(share);
-    return std::clamp(delay, m_settings.first, m_settings.maxSharedDelay);
+    return std::clamp(delay, m_settings.initialDelay, m_settings.maxSharedDelay);
 }
 
 void StoreRetry::onFailure(Instant now)
