--- a/include/mulberryplank/policy/budgetloan.h
+++ b/include/mulberryplank/policy/budgetloan.h
@@ -16,7 +16,7 @@
 {
 public:
     // Returns the number of a new request, or nothing while another request awaits its response.
-    std::optional<std::uint64_t> ask(Instant now);
+    std::optional<std::uint64_t> startRequest(Instant now);
 
     // Accepts the response to request `number`. Returns the time until which the loan may be spent, or nothing if the
     // response doesn't count.
--- a/src/app/gatewayfleet.cpp
+++ b/src/app/gatewayfleet.cpp
@@ -168,7 +168,7 @@
     if (!m_peers || others.empty() || !isIngress()) {
         return;
     }
-    const std::optional<std::uint64_t> requestNumber = service(name).loan.ask(Clock::now());
+    const std::optional<std::uint64_t> requestNumber = service(name).loan.startRequest(Clock::now());
     if (!requestNumber) {
         return;
     }
@@ -258,7 +258,7 @@
     if (m_unresponsivePeers.contains(reader.incarnation, Clock::now())) {
         co_return failure(ErrorKind::PeerLost, "the designated reader did not respond to a recent query");
     }
-    co_return co_await ask(reader, request, internal::ReaderTimeout);
+    co_return co_await queryMember(reader, request, internal::ReaderTimeout);
 }
 
 // Queries an ingress gateway for the configuration, or any member with a probability of one half.
@@ -277,7 +277,7 @@
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
     }
-    co_return co_await ask(*chosen, request, internal::PeerTimeout);
+    co_return co_await queryMember(*chosen, request, internal::PeerTimeout);
 }
 
 asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryPeerForList(PeerUpdateRequest request)
@@ -287,14 +287,16 @@
     if (!chosen || !m_peers) {
         co_return failure(ErrorKind::PeerLost, "no other gateway is known");
     }
-    const Result<PeerUpdate> update = co_await ask(*chosen, request, internal::ListTimeout);
+    const Result<PeerUpdate> update = co_await queryMember(*chosen, request, internal::ListTimeout);
     if (update && !update->upToDate && !readsFirstList(*update)) {
         m_peersWithoutList.note(chosen->incarnation, Clock::now());
     }
     co_return update;
 }
 
-asio::awaitable<Result<PeerUpdate>> GatewayProcess::ask(Member peer, PeerUpdateRequest request, Duration timeout)
+asio::awaitable<Result<PeerUpdate>> GatewayProcess::queryMember(Member peer,
+                                                                PeerUpdateRequest request,
+                                                                Duration timeout)
 {
     std::string payload = encode(request);
     const Result<std::string> response = co_await m_peers->call(
--- a/src/app/gatewayprocess.h
+++ b/src/app/gatewayprocess.h
@@ -113,7 +113,7 @@
     boost::asio::awaitable<Result<PeerUpdate>> queryPeer(PeerUpdateRequest request);
     boost::asio::awaitable<Result<PeerUpdate>> queryPeerForList(PeerUpdateRequest request);
     boost::asio::awaitable<Result<PeerUpdate>> queryReader(PeerUpdateRequest request);
-    boost::asio::awaitable<Result<PeerUpdate>> ask(Member peer, PeerUpdateRequest request, Duration timeout);
+    boost::asio::awaitable<Result<PeerUpdate>> queryMember(Member peer, PeerUpdateRequest request, Duration timeout);
     bool isIngress() const;
     bool hasOtherReader() const; // true: another gateway is the designated reader of this failure domain
     Member self() const;
--- a/src/policy/budgetloan.cpp
+++ b/src/policy/budgetloan.cpp
@@ -17,7 +17,7 @@
 
 } // namespace internal
 
-std::optional<std::uint64_t> BudgetLoan::ask(Instant now)
+std::optional<std::uint64_t> BudgetLoan::startRequest(Instant now)
 {
     if (m_awaitingResponse && now < m_requestedAt + internal::ResponseTimeout) {
         return std::nullopt;
--- a/src/policy/budgetloantest.cpp
+++ b/src/policy/budgetloantest.cpp
@@ -18,14 +18,14 @@
 
 TEST(BudgetLoan, SendsOneRequestAtATimeUntilTheResponseIsOverdue)
 {
-    CHECK(loan.ask(Start).has_value());
-    CHECK_FALSE(loan.ask(Start + Millis(10)).has_value());
-    CHECK(loan.ask(Start + Millis(60)).has_value());
+    CHECK(loan.startRequest(Start).has_value());
+    CHECK_FALSE(loan.startRequest(Start + Millis(10)).has_value());
+    CHECK(loan.startRequest(Start + Millis(60)).has_value());
 }
 
 TEST(BudgetLoan, ResponseCountsOnce)
 {
-    const std::uint64_t number = *loan.ask(Start);
+    const std::uint64_t number = *loan.startRequest(Start);
     CHECK(*loan.accept(number, Start + Millis(2)) == Start + LoanLifetime);
     CHECK_FALSE(loan.accept(number, Start + Millis(3)).has_value());
 }
@@ -33,9 +33,9 @@
 // Guards against the fleet exceeding its budget when the network delays or reorders responses.
 TEST(BudgetLoan, LateResponseOrResponseToAnEarlierRequestIsIgnored)
 {
-    const std::uint64_t late = *loan.ask(Start);
+    const std::uint64_t late = *loan.startRequest(Start);
     CHECK_FALSE(loan.accept(late, Start + LoanLifetime).has_value());
-    const std::uint64_t earlier = *loan.ask(Start + Seconds(2));
-    CHECK(loan.ask(Start + Seconds(3)).has_value());
+    const std::uint64_t earlier = *loan.startRequest(Start + Seconds(2));
+    CHECK(loan.startRequest(Start + Seconds(3)).has_value());
     CHECK_FALSE(loan.accept(earlier, Start + Seconds(3)).has_value());
 }
--- a/src/policy/windowbudgettest.cpp
+++ b/src/policy/windowbudgettest.cpp
@@ -113,9 +113,9 @@
     }
 
     // Requests a loan for `process` from `lender`. The response takes `delay` and arrives `copies` times.
-    void ask(std::size_t process, std::size_t lender, Duration delay, int copies)
+    void requestLoan(std::size_t process, std::size_t lender, Duration delay, int copies)
     {
-        const std::optional<std::uint64_t> number = m_loans[process].ask(now);
+        const std::optional<std::uint64_t> number = m_loans[process].startRequest(now);
         if (process == lender || !number || !m_budgets[lender].tryLend(now, 0)) {
             return;
         }
@@ -188,10 +188,10 @@
                 fleet.request(any());
                 break;
             case 2:
-                fleet.ask(any(), any(), Millis(*rc::gen::inRange(0, 3'000)), *rc::gen::inRange(0, 3));
+                fleet.requestLoan(any(), any(), Millis(*rc::gen::inRange(0, 3'000)), *rc::gen::inRange(0, 3));
                 break;
             case 3:
-                fleet.ask(any(), any(), Millis(1), 1);
+                fleet.requestLoan(any(), any(), Millis(1), 1);
                 break;
             case 4:
                 if (*rc::gen::inRange(0, 10) == 0) {
