--- a/include/mulberryplank/app/adminclient.h
+++ b/include/mulberryplank/app/adminclient.h
@@ -14,7 +14,7 @@
 struct EditResponse {
     Offset offset = 0;
     std::vector<std::string> inForce; // VMs whose proxies have applied it
-    std::vector<std::string> missing; // VMs whose proxies haven't, or haven't reported it
+    std::vector<std::string> missing; // VMs whose proxies haven't applied it or haven't reported so
 };
 
 struct AdminClientSettings {
--- a/include/mulberryplank/app/linewriter.h
+++ b/include/mulberryplank/app/linewriter.h
@@ -11,7 +11,7 @@
 namespace mulberryplank
 {
 
-// Prefix of the line that reports a number of dropped lines.
+// Prefix of the line that reports the number of dropped lines.
 inline constexpr std::string_view LinesDroppedPrefix = "log-lines-dropped count=";
 
 struct LineWriterSettings {
--- a/include/mulberryplank/net/callercontext.h
+++ b/include/mulberryplank/net/callercontext.h
@@ -23,13 +23,13 @@
     std::uint64_t bodyBytes = 1ULL << 30;
     // Bodies up to this size are read whole before the request is admitted.
     std::size_t maxBufferedBodyBytes = 16 * 1024;
-    // For a request with an Idempotency-Key, whose body is always read whole.
+    // Maximum body of a request with an Idempotency-Key, which is always read whole.
     std::size_t maxKeyedBodyBytes = 1024 * 1024;
     Duration headerTimeout = Seconds(10); // from a header's first byte to its last
     Duration idleTimeout = Seconds(60); // between two requests
     Duration bodyIdleTimeout = Seconds(30); // between two pieces of a request's body
     Duration writeTimeout = Seconds(30); // for writing a piece of a response to a caller
-    // For a caller to stop sending after a response that closes its connection.
+    // Time for a caller to stop sending after a response that closes its connection.
     Duration lingerTimeout = Seconds(2);
     Duration connectTimeout = Seconds(1); // for a target to accept a connection
     // After this time without a byte of the response a reused connection is treated as dead.
--- a/include/mulberryplank/net/callerwatch.h
+++ b/include/mulberryplank/net/callerwatch.h
@@ -9,8 +9,8 @@
 {
 
 // Detects that a caller has closed its connection while its request is in progress and nothing is read from the
-// connection. Without this a target would keep working until its response can't be delivered. Nothing else may wait for
-// input on the stream in the meantime.
+// connection. Without it, a target would keep working on a response that can't be delivered. No other operation may
+// wait for input on the stream while the watch exists.
 class CallerWatch
 {
 public:
--- a/include/mulberryplank/net/clock.h
+++ b/include/mulberryplank/net/clock.h
@@ -22,9 +22,9 @@
     static Instant now();
 };
 
-// Replaces the time of Clock::now() on the thread that created it, as long as it exists. Its time passes by advance()
-// alone. At most one may exist on a thread. After advance(), poll the io_context rather than run it: a run that waits
-// would wait in real time.
+// While it exists, replaces the time of Clock::now() on the thread that created it. Only advance() moves its time. At
+// most one may exist on a thread. After advance(), poll the io_context rather than run it: a run that waits would wait
+// in real time.
 class VirtualTime
 {
 public:
--- a/include/mulberryplank/net/configsync.h
+++ b/include/mulberryplank/net/configsync.h
@@ -23,7 +23,7 @@
 // The reason why a proxy is ready or isn't.
 enum class ConfigPhase : std::uint8_t {
     Starting, // neither the log nor a peer has responded yet
-    NoSource, // neither can be reached: the proxy waits rather than guesses
+    NoSource, // neither can be reached: the proxy waits instead of assuming a configuration
     NoSnapshot, // the log's records have expired, and neither a snapshot nor a peer replaces them
     InForce, // has a configuration
 };
@@ -39,7 +39,7 @@
     bool behind = false; // has been behind `newest` for longer than BehindLimit
     bool readsLog = false; // whether this proxy reads the log on behalf of others
     bool logReachable = false;
-    bool logWentBack = false; // the log isn't the one that was applied; its edits aren't followed until it is again
+    bool logWentBack = false; // the log isn't the one that was applied; its edits are ignored until that one is back
     std::string detail; // for operators
 
     bool ready() const
@@ -112,11 +112,11 @@
     // Starts to read, push and pull.
     void start();
 
-    // Stops it. The object must outlive the operations that the io_context still runs.
+    // Stops reading, pushing and pulling. The object must outlive the operations that the io_context still runs.
     void stop();
 
     // Loads the configuration from a snapshot that an operator provides, for a fleet that was restarted as a whole
-    // during a log outage. If a newer configuration is present already, that one is put in force. Errors:
+    // during a log outage. If this process already has a newer configuration, it puts that one in force. Errors:
     // BadConfiguration; Conflict when the snapshot comes from another log.
     Result<void> loadLastKnown(std::string_view snapshot);
 
--- a/include/mulberryplank/net/discoveryclient.h
+++ b/include/mulberryplank/net/discoveryclient.h
@@ -24,18 +24,18 @@
 {
 
 struct DiscoverySettings {
-    // How long a read waits for a new configuration. Each read is billed. A connection that becomes unresponsive
-    // meanwhile is detected by its keepalive probes and by the versions that other processes report.
+    // How long a read waits for a new configuration. Each read is billed. A connection that becomes unresponsive during
+    // the wait is detected by its keepalive probes and by the versions that other processes report.
     Millis configurationWait { 25'000 };
-    // Between two queries for the configuration by a process that has a designated reader and has received no hint of a
-    // new version.
+    // Interval between queries for the configuration. Applies to a process that has a designated reader and has
+    // received no hint of a new version.
     Duration configurationInterval = Seconds(10);
     Duration firstInterval = Seconds(1); // the same for a process that has no configuration yet
-    // Between two reads of the targets' records while requests arrive. A target's leaving has to be known within two
-    // seconds; this leaves half of that for a read that fails and is repeated.
+    // Interval between reads of the targets' records while requests arrive. A process must learn within two seconds
+    // that a target leaves. This interval leaves half of that time for a failed read and its repetition.
     Duration targetsInterval = Millis(800);
-    // A list that was read from the store longer ago is read again before a request uses it: a target must get no
-    // requests two seconds after it left.
+    // If the list was read from the store longer ago than this, it is read again before a request uses it. A target
+    // must get no requests two seconds after it left.
     Duration maxTargetsAge = Millis(1'700);
     // The age at which a list received from another process is read again, if that is sooner than the next regular
     // read. Two unresponsive processes can be queried before the two seconds are over.
@@ -44,18 +44,19 @@
     Duration targetsFollowedFor = Seconds(8);
     Duration targetsWait = Millis(400); // how long the first request after an idle period waits for the list
     Duration routesWait = Seconds(1); // how long after the start requests wait for the first configuration
-    // How often a process that is still reading its own first list is queried for it, and the interval in between.
+    // How many times a process that is still reading its own first list is queried for it, and the interval between
+    // these queries.
     int listTries = 8;
     Duration listInterval = Millis(40);
     Duration listTimeout = Millis(200); // after which another process is queried as well
     Duration retryInterval = Millis(250); // after a failed read, before any source is queried again
-    StoreRetrySettings storeRetry; // how soon that source may be the store itself
+    StoreRetrySettings storeRetry; // when the store itself may be called again
     Duration hintLifetime = Seconds(1); // after which a hint no longer accounts for the store's recovery
     Duration returnGrace = Seconds(2); // how long live targets have after the store's recovery to be listed again
-    Duration catchUpDelay = Millis(150); // for a read in progress to bring what another process has already
+    Duration catchUpDelay = Millis(150); // for a read in progress to return what another process already has
 };
 
-// Uses of the updates and access to other processes.
+// Callbacks for updates, and access to other processes.
 struct DiscoveryHooks {
     std::string configurationKey; // key of the configuration's record
     std::function<Result<RouteTable>(std::string_view)> decodeRoutes;
@@ -69,16 +70,16 @@
     // Returns whether there is a designated reader other than this process.
     std::function<bool()> hasReader;
     // Returns whether this process reads the configuration from the store although another process reads the targets
-    // for it. When the store is unresponsive to one of the two, the other processes still get the configuration through
-    // the other one.
+    // for it. If the store doesn't respond to one of the two, the remaining one still provides the configuration to
+    // other processes.
     std::function<bool()> readsConfiguration;
     // Returns how many processes of this failure domain follow the store, including this one.
     std::function<std::size_t()> followersInDomain;
     // Called when the list of targets, as read from the store, has changed.
     std::function<void()> listChanged;
-    // Called when the store has stopped responding to this process or responds again. `firstToRecover` is true if it
-    // responds again, the reader isn't known to be served, and no hint has been received, so that this process may be
-    // the first to detect the recovery.
+    // Called when the store has stopped responding to this process or responds again. `firstToRecover` is true if this
+    // process may be the first to detect the recovery: the store responds again, the reader isn't known to be served,
+    // and no hint has been received.
     std::function<void(bool firstToRecover)> storeChanged;
 };
 
@@ -109,19 +110,20 @@
     // routes is then served; otherwise its caller would have to send it again, which not every caller does.
     DataAwaitable<void> awaitRoutes();
 
-    // Called for a request that needs the targets. They are followed from then on, and a list that is too old is read
-    // first. Returns false if there is no list at all.
+    // Must be called for a request that needs the targets. Starts to follow them, and first reads the list again if it
+    // is too old. Returns false if there is no list at all.
     DataAwaitable<bool> ensureTargets();
 
-    // Called when another process has this version of the configuration. If this process lacks it, it queries for it:
-    // at once if it has a designated reader, else after a short delay.
+    // Must be called when another process reports this version of the configuration. If this process lacks that
+    // version, it queries for it: at once if it has a designated reader, else after a short delay.
     void noteRemoteVersion(std::uint64_t version);
 
-    // Called when the designated reader, or the first process that the store serves again, has an update. This process
-    // queries for it at once. If `version` is given, it queries for the configuration only if that version is newer.
+    // Must be called when the designated reader, or the first process that the store serves again, has an update. This
+    // process queries for it at once. If `version` is given, it queries for the configuration only if that version is
+    // newer.
     void noteRemoteUpdate(std::uint64_t version = 0);
 
-    // Returns what this process has, for another one that doesn't read the store or can't reach it.
+    // Returns the response to a query of another process, which doesn't read the store or can't reach it.
     PeerUpdate respondToPeer(const PeerUpdateRequest &request);
 
     const TargetDirectory &directory() const;
@@ -197,7 +199,7 @@
     TargetDirectory m_directory;
     Offset m_targetsNext = 0;
     bool m_targetsKnown = false;
-    bool m_targetsChanged = false; // according to another process; what was read before is too old
+    bool m_targetsChanged = false; // according to another process; lists read before that are too old
     bool m_readsTargets = false; // whether a read from the store is in progress
     bool m_targetsUnavailable = false; // no source returned a list at the last attempt
     Instant m_targetsReadAt {}; // from the store, by this process or another one
--- a/include/mulberryplank/net/memberservice.h
+++ b/include/mulberryplank/net/memberservice.h
@@ -20,7 +20,8 @@
     MembershipSettings membership;
     Duration tickInterval = Millis(100);
     Duration exchangeTimeout = Seconds(5);
-    // The timeout while no other member is known. A seed may have stopped without notice, and others can be queried.
+    // The exchange timeout while no other member is known. It is short because a seed may have stopped without notice
+    // and other seeds can be queried.
     Duration joinTimeout = Millis(600);
     int maxParallelJoins = 3; // seeds that are queried in parallel while no other member is known
     // Called when the first other member is known, after the list of members was published.
--- a/include/mulberryplank/net/seedpublisher.h
+++ b/include/mulberryplank/net/seedpublisher.h
@@ -28,10 +28,10 @@
     std::function<void(const std::vector<FleetSeed> &)> seedsFound; // called with the seeds that the store lists
 };
 
-// Keeps some processes of high capacity of each failure domain registered as seeds in the store, through which new
-// processes find the fleet. If every process registered itself, each start would read a list that grows with the fleet,
-// and write to it while all others do the same. A process that knows no other member reads the seeds again. Must be
-// used on the thread that runs the io_context, which must outlive it.
+// Registers some processes of high capacity of each failure domain in the store as seeds, through which new processes
+// find the fleet. If every process registered itself, each start would read a list that grows with the fleet, and write
+// to it while all others do the same. A process that knows no other member reads the seeds again. Must be used on the
+// thread that runs the io_context, which must outlive it.
 class SeedPublisher
 {
 public:
@@ -45,7 +45,7 @@
     SeedPublisher(const SeedPublisher &) = delete;
     SeedPublisher &operator=(const SeedPublisher &) = delete;
 
-    // Starts it, with the seeds that the store listed at the start of the process. Must be called only once.
+    // Starts publishing. `seeds` are those that the store listed when the process started. Must be called only once.
     void start(std::vector<FleetSeed> seeds);
 
 private:
--- a/include/mulberryplank/net/targetpool.h
+++ b/include/mulberryplank/net/targetpool.h
@@ -39,7 +39,7 @@
 {
 public:
     struct Settings {
-        Duration idleLimit = Seconds(30); // closes ours before targets or the network path drop connections
+        Duration idleLimit = Seconds(30); // connections are closed before targets or the network path drop them
         Duration nonIdempotentIdleLimit =
             Seconds(2); // how long after a response a connection may be used for a non-idempotent request
         std::size_t idlePerTarget = 8;
--- a/include/mulberryplank/net/updatemessages.h
+++ b/include/mulberryplank/net/updatemessages.h
@@ -30,7 +30,7 @@
     std::uint64_t version = 0; // of the configuration in force; 0: none
     ConfigurationPiece configuration; // of its compressed bytes, as stored
     bool storeResponds = true; // the store serves the responding process, which will get new records
-    bool hasTargets = false; // a list is included: it is up to date, or further on than the requester's
+    bool hasTargets = false; // a list is included that is up to date or newer than the requester's
     bool upToDate = false; // whether that list is up to date
     std::int64_t ageMillis = 0; // since that list was read from the store
     Offset targetsNext = 0; // the offset up to which it was read
@@ -48,7 +48,7 @@
 
 // A hint to other processes that the sender has an update.
 struct UpdateHint {
-    std::uint64_t version = 0; // of the configuration in force there; 0: none, or the update is of something else
+    std::uint64_t version = 0; // of the sender's configuration in force; 0: none, or the update isn't a configuration
 };
 
 // A hash of a target's name, which identifies it among processes that know the same targets. Hundreds of reports are
--- a/include/mulberryplank/net/worker.h
+++ b/include/mulberryplank/net/worker.h
@@ -9,8 +9,8 @@
 namespace mulberryplank
 {
 
-// The state of one data path thread. Caller and target connections never leave their worker, so none of this needs a
-// lock.
+// The state of one data path thread. Connections to callers and targets never leave their worker, so this state needs
+// no lock.
 class Worker
 {
 public:
--- a/include/mulberryplank/policy/atmostonceregistry.h
+++ b/include/mulberryplank/policy/atmostonceregistry.h
@@ -61,7 +61,7 @@
     Replay, // return `response` again
     InProgress, // currently running: RepeatInProgress
     ForwardTo, // process `incarnation` decides; this one must not run it
-    Unknown, // it may have run, and no process can tell: RepeatUnknown
+    Unknown, // no process can determine whether it has run: RepeatUnknown
     KeyReused, // the key belongs to another request: KeyReused
     Full, // no room for another key: RateLimited, not run, retry after `retryAfter`
     KeyRequired, // no key, or one of another form: KeyRequired, with a new token
@@ -83,7 +83,8 @@
 struct AtMostOnceSettings {
     Seconds epoch { 60 };
     std::uint32_t epochsValid = 15; // a token can start requests during its epoch and this many more
-    std::uint32_t epochsKept = 5; // a key is kept so many epochs longer than it may start, for repeats of late runs
+    std::uint32_t epochsKept =
+        5; // a key is kept for this many more after its last possible start, for late runs' repeats
     std::size_t maxKeys = 200'000; // in total
     std::size_t maxKeysPerAccount = 10'000;
     std::size_t maxResponseBytes = 65'536; // a larger response isn't kept, only the fact that there was one
--- a/include/mulberryplank/policy/budgetloan.h
+++ b/include/mulberryplank/policy/budgetloan.h
@@ -9,8 +9,8 @@
 {
 
 // The borrower's side of loans between processes that each hold a share of one budget (WindowBudget). A process has at
-// most one request to one other process outstanding. A response counts once, and only if it arrives soon after
-// its request. Lost, repeated or delayed messages therefore never let the fleet spend more than was lent.
+// most one outstanding request, to one other process. A response counts once, and only if it arrives soon after its
+// request. Lost, repeated or delayed messages therefore never let the fleet spend more than was lent.
 // Thread-compatible.
 class BudgetLoan
 {
--- a/include/mulberryplank/policy/compression.h
+++ b/include/mulberryplank/policy/compression.h
@@ -8,8 +8,7 @@
 namespace mulberryplank
 {
 
-// The maximum size of data that is accepted from another process in compressed form, after decompression. 19,000 routes
-// take some 3 MB.
+// Maximum decompressed size of data that is accepted from another process. 19,000 routes take some 3 MB.
 inline constexpr std::size_t MaxDecompressedSize = std::size_t { 64 } << 20U;
 
 // Compresses bytes with zstd. `base` is other data that the receiver has; content that both have in common takes almost
--- a/include/mulberryplank/policy/deadline.h
+++ b/include/mulberryplank/policy/deadline.h
@@ -11,7 +11,8 @@
 namespace mulberryplank
 {
 
-// The time by which a request must be answered. Fixed when the request's header has arrived; time in the queue counts.
+// The time by which the caller must have the response to a request. Fixed when the request's header has arrived; time
+// in the queue counts.
 class Deadline
 {
 public:
--- a/include/mulberryplank/policy/evidence.h
+++ b/include/mulberryplank/policy/evidence.h
@@ -68,7 +68,7 @@
     std::vector<TargetEvidence> evidence; // targets without evidence are omitted
     std::vector<TargetId> claimed; // targets that the sender has ejected or requests to eject
     std::vector<TargetId> unavailable; // targets that the sender sees as leaving or cold
-    std::vector<ReportAck> acks; // the newest report of each peer that the sender received a report from recently
+    std::vector<ReportAck> acks; // of the newest report of each peer that the sender received recently
 
     bool operator==(const EvidenceReport &) const = default;
 
--- a/include/mulberryplank/policy/fairqueue.h
+++ b/include/mulberryplank/policy/fairqueue.h
@@ -71,11 +71,12 @@
 // idle time earns no credit and costs nothing.
 //
 // Cost is charged by estimate on start, charged again while a request runs longer than charged for, and corrected when
-// it ends. While no account waits for another, usage isn't held against any account.
+// it ends. Usage while no account waits for another doesn't count against an account later.
 //
-// Guarantee: for any two accounts that wait throughout an interval, charged slot-time divided by weight differs by at
-// most the sum, for both, of the greatest cost charged for one request divided by the weight. The order in which an
-// account's requests arrive, the number of its connections and its cancellations have no influence.
+// Guarantee: take any two accounts that wait throughout an interval, and for each the greatest cost charged for one
+// request, divided by the account's weight. The slot-times charged to the two accounts in the interval, divided by
+// their weights, differ by at most the sum of these two values. The order in which an account's requests arrive, the
+// number of its connections and its cancellations have no influence.
 //
 // Every operation is O(log n) in the waiting accounts and the known requests. Thread-compatible.
 class FairQueue
@@ -101,8 +102,8 @@
     void removeAccount(AccountIndex account);
 
     // Sets how many requests the targets can run for this process at once; 0: unknown. Waits are estimated from it, or
-    // else from the number of running requests. Only if it is known are requests of many times the typical cost kept
-    // from taking every slot that is briefly unused.
+    // else from the number of running requests. If it is unknown, requests of many times the typical cost may take
+    // every slot that is briefly unused.
     void setCapacity(double slots);
 
     // Sets the typical cost of the service's requests on all its proxies, as from FleetShares::typicalCost(); zero:
--- a/include/mulberryplank/policy/fleetseeds.h
+++ b/include/mulberryplank/policy/fleetseeds.h
@@ -28,7 +28,7 @@
 // read the store itself.
 std::optional<Member> designatedReader(const std::vector<Member> &members, const FailureDomain &domain);
 
-// Returns the VMs among `seeds` that no live member runs on. Returns none if that is true of all seeds: a process that
+// Returns the VMs of `seeds` on which no live member runs. If that is so for all seeds, returns none: a process that
 // knows none of the seeds in the store may itself be disconnected.
 std::vector<VmName> staleSeeds(const std::vector<FleetSeed> &seeds, const std::vector<Member> &members);
 
--- a/include/mulberryplank/policy/fleetshares.h
+++ b/include/mulberryplank/policy/fleetshares.h
@@ -39,7 +39,7 @@
     AccountName account;
     ShareAmounts wanted {}; // by LimitKind
     double slots = 0; // slot-time requested per second
-    ShareAmounts claimed {}; // by LimitKind, of the pool: what the member holds, or will hold once all acknowledged it
+    ShareAmounts claimed {}; // by LimitKind: its part of the pool, held now or once all have acknowledged it
 
     bool operator==(const AccountReport &) const = default;
 };
@@ -69,7 +69,7 @@
     Duration lease = Seconds(3); // how long claims hold without acknowledgements
     Duration silenceTimeout = Seconds(7); // after which claims of an unresponsive member are released. More than twice
                                           // the lease, by as much as clocks may differ in speed
-    Duration partitionGrace = Seconds(60); // after which a member that has lost a majority of the others goes on alone
+    Duration partitionGrace = Seconds(60); // after which a member that has lost a majority of the others acts alone
     std::size_t maxAccounts = 256; // in one report; accounts beyond it use even parts
 };
 
@@ -77,16 +77,16 @@
 //
 // Each limit has a fixed part, split evenly, which a member may always use, and a pool, which members claim from.
 // Claims are even parts while no member has demand for an account. With demand, they are parts by demand, which all
-// members compute in the same way from the same reports. A member lowers its own claim at once. To raise it, it reports
-// the higher claim, and uses it only when every other member has acknowledged that report and all claims known by then
-// add up to no more than the pool. The last member to pass this check has seen the claims of all others, so the sum
-// never exceeds the limit, however reports are delayed, lost, repeated or reordered.
+// members compute in the same way from the same reports. A member lowers its own claim at once. To raise its claim, it
+// reports the higher one. It uses that one only after every other member has acknowledged the report, and only if all
+// claims that it then knows add up to no more than the pool. The last member to pass this check has seen the claims of
+// all others, so the sum never exceeds the limit, however reports are delayed, lost, repeated or reordered.
 //
 // A member is linked with another one if, within the lease, it received a report and an acknowledgement from it. A
 // member that isn't linked with a majority of the members releases its claims by its own clock. Claims of an
 // unresponsive member stay reserved until a majority reports that it was unresponsive for more than twice the lease. A
-// member that reported so acknowledges nothing more of the unresponsive member until that one has released its claims
-// itself. While no majority is linked, only fixed parts are used.
+// member that has reported this doesn't acknowledge reports of the unresponsive member until that member has released
+// its claims itself. While no majority is linked, only fixed parts are used.
 //
 // The sum can exceed a limit in these cases only:
 // - Requests in flight when a member releases its claims run to their end.
@@ -106,7 +106,7 @@
     FleetShares &operator=(const FleetShares &) = delete;
 
     // Sets the members that are assigned the service, this one included. A list without this member releases all
-    // claims. All members should be given the same list, and none before it has a view of the fleet: a member that
+    // claims. All members should be given the same list, but only once they have a view of the fleet: a member that
     // considers itself the only one uses whole limits.
     void setMembers(std::vector<VmName> members, Instant now);
 
--- a/include/mulberryplank/policy/floor.h
+++ b/include/mulberryplank/policy/floor.h
@@ -30,8 +30,8 @@
 // unavailable. A proxy counts a claim from the moment it confirms it. So of any set of claims in effect, the one
 // announced last was checked against all others. A claim lasts for a lease after the newest report that every peer has
 // confirmed, and then has no effect. A peer counts as stopped only when neither this process nor any other peer has
-// received a report from it for more than two leases, and when the remaining proxies are a majority. By then its own
-// claims have expired.
+// received a report from it for more than two leases, and when the remaining proxies are a majority. The claims of that
+// peer have expired before then.
 //
 // The floor is guaranteed while the proxies' views of the service's assigned proxies differ by one proxy at most.
 // docs/pages/health.md describes what happens beyond that. Thread-compatible.
--- a/include/mulberryplank/policy/logposition.h
+++ b/include/mulberryplank/policy/logposition.h
@@ -48,7 +48,7 @@
 
     explicit SnapshotSchedule(Settings settings);
 
-    // Records that a complete snapshot at `next` exists, the last part of which is record `at` of its stream. Calling
+    // Records that a complete snapshot at `next` exists. Its last part is record `at` of the snapshots' stream. Calling
     // it again with the same `at` doesn't count as a renewal.
     void seen(Offset next, Offset at, Instant now);
 
--- a/include/mulberryplank/policy/memberlist.h
+++ b/include/mulberryplank/policy/memberlist.h
@@ -71,7 +71,7 @@
     // Postpones the deadlines of all suspicions.
     void postponeSuspicions(Duration by);
 
-    // Increments this process's own counter, so that its updates from then on override what other members report of it.
+    // Increments this process's own counter, so that its later updates override what other members report of it.
     void incrementOwnCounter();
     void setOwnState(MemberStatus status, Offset applied, bool ready);
 
--- a/include/mulberryplank/policy/membership.h
+++ b/include/mulberryplank/policy/membership.h
@@ -27,7 +27,7 @@
     Duration probeInterval = Millis(500); // each process probes one member per interval
     Duration retryAfter = Millis(150); // without a response: probes again, also indirectly
     Duration secondRetryAfter = Millis(350);
-    Duration responseTimeout = Millis(600); // without a response by then: suspect
+    Duration responseTimeout = Millis(600); // after which a member without a response is suspected
     std::size_t indirectProbes = 4; // at each of the two retries
     Duration suspicionTimeout = Seconds(2); // grows with the size of the fleet, see Membership::suspicionTime()
     double suspectProbes = 2; // of each suspect per probeInterval by the whole fleet, besides probes of processes that
@@ -39,7 +39,7 @@
     std::uint32_t transmitFactor = 4; // each update is sent this many times the number of digits of the fleet's size
     std::size_t updateBudget = 600; // bytes of updates in one message
     std::size_t samples = 4; // random members whose state fills up a message
-    Duration pauseThreshold = Seconds(2); // a gap between ticks from which on this process counts as paused
+    Duration pauseThreshold = Seconds(2); // minimum gap between ticks after which this process counts as paused
     Duration joinRetryInterval = Millis(100); // for queries of seeds while no other member is known
     Duration seedTimeout = Millis(600); // before the same seed is queried again
     Duration seedRetryInterval = Seconds(5); // for queries of a seed that isn't among the live members
--- a/include/mulberryplank/policy/peerchoice.h
+++ b/include/mulberryplank/policy/peerchoice.h
@@ -43,10 +43,10 @@
                                               std::mt19937_64 &random);
 
 // Returns which of `candidates` to request a configuration newer than `version` from, or nothing if there is none.
-// Prefers members that report a newer one to the others. Never selects `self` or a dead member, and selects one of
-// `failedPeers` only if all candidates are among them. Draws two members at random and takes the one with the higher
-// capacity: a configuration of 300 KB occupies the links of the slowest VMs for a quarter of a second, and all
-// processes that missed it request it at once.
+// Prefers members that report a newer one. Never selects `self` or a dead member, and selects one of `failedPeers` only
+// if all candidates are among them. Draws two members at random and takes the one with the higher capacity: a
+// configuration of 300 KB occupies the links of the slowest VMs for a quarter of a second, and all processes that
+// missed it request it at once.
 std::optional<Member> choosePeerForUpdate(std::vector<Member> candidates,
                                           Incarnation self,
                                           std::uint64_t version,
--- a/include/mulberryplank/policy/recordtail.h
+++ b/include/mulberryplank/policy/recordtail.h
@@ -19,8 +19,8 @@
     bool operator==(const ConfigUpdate &) const = default;
 };
 
-// Keeps the last records that a process has applied, for peers that are slightly behind. Bounded in bytes. Not
-// synchronized.
+// Keeps the last records that a process has applied, for peers that are slightly behind. Bounded in bytes.
+// Thread-compatible.
 class RecordTail
 {
 public:
--- a/include/mulberryplank/policy/requestplan.h
+++ b/include/mulberryplank/policy/requestplan.h
@@ -208,7 +208,7 @@
     std::uint32_t m_resumes = 0;
     unsigned m_retries = 0;
     std::optional<Instant> m_retryAt; // start time of the next retry or resume
-    std::optional<Instant> m_stallTimeoutAt; // the target must have sent more of the body by then
+    std::optional<Instant> m_stallTimeoutAt; // deadline for the next piece of the target's body
     bool m_mayHaveRun = false; // an ended attempt may have run the request
     bool m_requestBodyDiscarded = false;
     bool m_hedgeRefused = false;
--- a/include/mulberryplank/policy/retryallowanceshare.h
+++ b/include/mulberryplank/policy/retryallowanceshare.h
@@ -21,7 +21,7 @@
 //   has passed. Its predecessor may have spent a share within the same window, and a process that has just started sees
 //   itself as the only ingress proxy.
 // - The share is computed from the largest number of ingress proxies seen within a minute. A process that is cut off
-//   from the others takes them for dead while they go on spending.
+//   from the others considers them dead while they continue to spend.
 // Thread-compatible.
 class RetryAllowanceShare
 {
--- a/include/mulberryplank/policy/snapshotparts.h
+++ b/include/mulberryplank/policy/snapshotparts.h
@@ -15,7 +15,7 @@
 std::vector<std::string> splitSnapshot(Offset next, std::string_view snapshot);
 
 // Produces the same log records of a table's snapshot as splitSnapshot(). Records are encoded one at a time, and the
-// data of those already returned is freed. The table may change meanwhile. Thread-compatible.
+// data of those already returned is freed. The table may change between calls. Thread-compatible.
 class SnapshotParts
 {
 public:
--- a/include/mulberryplank/policy/storeretry.h
+++ b/include/mulberryplank/policy/storeretry.h
@@ -10,10 +10,10 @@
 // The intervals at which a store that doesn't respond is tried again. Calls are billed, including failed ones. A fleet
 // in which each process retried on its own would be billed in proportion to the square of its size during an outage.
 struct StoreRetrySettings {
-    // After a single failure, and the minimum delay. Typically only one call fails.
+    // The delay after a single failure, and the minimum delay. Typically only one call fails.
     Duration initialDelay = Millis(250);
-    // The delay, from the second failure on, of a process with which no other process shares its retries. It lets the
-    // process learn of a change made as the store recovers one second before that change has to be in force.
+    // The delay from the second failure on, if no other process shares the retries. The process then learns of a change
+    // one second before it has to be in force, even if the change is made while the store recovers.
     Duration maxDelay = Millis(500);
     // How many calls per second all processes that share their retries make together. As soon as one of them succeeds,
     // it notifies the others, so a recovered store is detected within some hundred milliseconds.
--- a/include/mulberryplank/policy/targetbalancer.h
+++ b/include/mulberryplank/policy/targetbalancer.h
@@ -100,9 +100,9 @@
 // bill for bytes that cross failure domains.
 //
 // The risk comes from a FaultModel. While many targets become faulty, requests stay with targets that have responded
-// recently; while none do, old evidence costs nothing. No target is ever ruled out: when the other targets are full,
-// suspected targets are used, so that faulty targets can't reduce healthy capacity. Risk costs a non-idempotent request
-// most, so suspected targets are tried with idempotent requests first.
+// recently; while none do, old evidence adds no cost. No target is ever ruled out: when the other targets are full,
+// suspected targets are used, so that faulty targets can't reduce healthy capacity. Risk weighs most for a
+// non-idempotent request, so suspected targets are tried with idempotent requests first.
 //
 // Some requests are sent to targets that no process has used for a while. Otherwise the few targets that appear healthy
 // would receive every request, and nothing would be learned about targets that were avoided before. Thread-compatible.
--- a/include/mulberryplank/policy/targetdirectory.h
+++ b/include/mulberryplank/policy/targetdirectory.h
@@ -41,8 +41,8 @@
 };
 
 // The targets that have announced themselves, built from the records of the platform's store. An entry that is removed
-// shortly after an outage of the store may only have expired: its target has `returnGrace` from the store's return to
-// announce itself again, and is kept for that time. All other removals take effect at once. Thread-compatible.
+// shortly after an outage of the store may only have expired: its target has `returnGrace` after the store's recovery
+// to announce itself again, and is kept for that time. All other removals take effect at once. Thread-compatible.
 class TargetDirectory
 {
 public:
--- a/include/mulberryplank/state/configstate.h
+++ b/include/mulberryplank/state/configstate.h
@@ -81,8 +81,8 @@
     // Returns the records from `from` on, or nothing if they are no longer kept or don't exist yet.
     std::optional<ConfigUpdate> updateSince(Offset from) const;
 
-    // Returns the services that edits from `from` on may have changed, each once. Returns nothing if that is no longer
-    // known; then any service may have changed.
+    // Returns the services that edits from `from` on may have changed, without duplicates. Returns nothing if that is
+    // no longer known: any service may then have changed.
     std::optional<std::vector<ServiceName>> servicesChangedSince(Offset from) const;
 
     // Returns the number of views kept.
--- a/include/mulberryplank/state/grant.h
+++ b/include/mulberryplank/state/grant.h
@@ -44,8 +44,8 @@
 
 using AdmissionResult = tl::expected<Grant, Refusal>;
 
-// An attempt in a service's queue. deliver() is called once, when the attempt may start or is rejected. The call may
-// come from any thread; no locks are held.
+// An attempt in a service's queue. deliver() is called once, when the attempt may start or is rejected. It may be
+// called from any thread, and no locks are held during the call.
 class Waiter : public boost::intrusive_ref_counter<Waiter>
 {
 public:
--- a/include/mulberryplank/state/servicestate.h
+++ b/include/mulberryplank/state/servicestate.h
@@ -89,9 +89,9 @@
                                        const std::vector<Row> &rows,
                                        Instant now);
 
-    // Grants an attempt immediately, rejects it, or queues it and returns nothing. If it is queued, `makeWaiter` was
-    // called for the waiter that receives the result. `otherDeliveries` receives results of other attempts that were
-    // decided during the call.
+    // Grants an attempt immediately, rejects it, or queues it and returns nothing. For a queued attempt, calls
+    // `makeWaiter` for the waiter that will receive the result. `otherDeliveries` receives results of other attempts
+    // that were decided during the call.
     std::optional<AdmissionResult> admit(RequestId request,
                                          const Admission &admission,
                                          const std::function<WaiterPtr()> &makeWaiter,
@@ -113,7 +113,7 @@
     void recordResponse();
     void recordLatency(std::uint16_t route, Duration latency);
 
-    // Marks targets on a VM that is leaving, and unmarks all other targets.
+    // Marks the targets on the hosts of VMs that are leaving, and unmarks all other targets.
     void setLeavingHosts(const std::vector<std::string> &hosts);
 
     // Record the result of a probe.
@@ -126,8 +126,8 @@
     EvidenceReport evidenceReport(Instant now);
     void mergeEvidence(const PeerId &peer, const EvidenceReport &report, Instant now);
 
-    // Exchange of demand and claims, which enforces limits across the fleet. The functions that return a report return
-    // the one to send to the other proxies that are assigned the service, if one is due.
+    // Exchange of demand and claims, which enforces limits across the fleet. demandReport() and withdrawDemand() return
+    // the report to send to the other proxies that are assigned the service, or nothing if none is due.
     std::optional<DemandReport> demandReport(Instant now);
     std::optional<DemandReport> withdrawDemand(Instant now);
     void mergeDemand(const PeerId &peer, const DemandReport &report, Instant now);
--- a/src/policy/targethealthprivate.h
+++ b/src/policy/targethealthprivate.h
@@ -30,9 +30,9 @@
     Threshold { 27, 1.4 }, // cautious
 };
 
-// The evidence of the other proxies, without the one that suspects the target most, must still reach this share of the
+// Without the proxy that suspects the target most, the evidence of the other proxies must still reach this share of the
 // threshold. Otherwise a single faulty proxy could eject any target. A smaller share suffices if no proxy receives
-// responses that contradict.
+// responses that contradict the suspicion.
 constexpr double MinShareFromOthers = 0.6;
 constexpr double MinShareFromOthersUncontradicted = 0.45;
 constexpr double MaxFromOneProxy = 1; // of the threshold
@@ -43,7 +43,7 @@
 constexpr double UrgentThreshold = 0.15; // of the threshold, by this process's own traffic
 constexpr double AllSlowThreshold = 0.3; // of the threshold
 constexpr double AllSlowShare = 2.0 / 3.0; // of the targets in service
-// While even the least suspicious third of the targets in service shows this much suspicion, no target is ejected.
+// While even the least suspected third of the targets in service shows this much suspicion, no target is ejected.
 constexpr double HoldThreshold = 0.15; // of the threshold
 constexpr double HoldRank = 1.0 / 3.0;
 constexpr double SuspicionLimit = 3; // times the threshold
