--- a/include/mulberryplank/policy/atmostonceregistry.h
+++ b/include/mulberryplank/policy/atmostonceregistry.h
@@ -83,8 +83,7 @@
 struct AtMostOnceSettings {
     Seconds epoch { 60 };
     std::uint32_t epochsValid = 15; // a token can start requests during its epoch and this many more
-    std::uint32_t epochsKept =
-        5; // a key is kept for this many more after its last possible start, for late runs' repeats
+    std::uint32_t epochsKept = 5; // epochs that a key is kept after its last possible start, for repeats of late runs
     std::size_t maxKeys = 200'000; // in total
     std::size_t maxKeysPerAccount = 10'000;
     std::size_t maxResponseBytes = 65'536; // a larger response isn't kept, only the fact that there was one
--- a/include/mulberryplank/policy/targethealth.h
+++ b/include/mulberryplank/policy/targethealth.h
@@ -96,8 +96,8 @@
 
 // The health of one service's targets as seen by one process. Derives phases and weights from attempts and from the
 // reports of the other proxies assigned to the service. Ejects a target only if at least two proxies observe the fault
-// (as far as there are two), and only while the floor stays in service without the targets that any proxy counts as
-// ejected, leaving or cold. docs/pages/health.md gives the argument. Thread-compatible.
+// (as far as there are two). The floor must also stay in service without the targets that any proxy counts as ejected,
+// leaving or cold. docs/pages/health.md gives the argument. Thread-compatible.
 class ServiceHealth
 {
 public:
--- a/src/net/discoveryclient.cpp
+++ b/src/net/discoveryclient.cpp
@@ -301,7 +301,7 @@
     while (true) {
         const Result<void> read = co_await readConfiguration();
         if (!read) {
-            m_configurationKnown = false; // read the newest one next: records written meanwhile may not be kept
+            m_configurationKnown = false; // read the newest one next: records written since may no longer be kept
             co_await fetchConfiguration(m_hooks.queryPeer, internal::FromPeer);
         }
         if (!read || (isBehind() && m_hooks.hasReader())) {
--- a/src/net/discoveryclientpeers.cpp
+++ b/src/net/discoveryclientpeers.cpp
@@ -143,7 +143,7 @@
         return update;
     }
     const Instant now = Clock::now();
-    // The requester will retry. By then the list is followed here as well.
+    // Starts to follow the list, so that it is available here when the requester retries.
     if (!followsTargets(now)) {
         m_lastNeededAt = now;
         m_nextTargets.cancel();
--- a/src/net/discoveryclienttargets.cpp
+++ b/src/net/discoveryclienttargets.cpp
@@ -24,7 +24,7 @@
 // For this long after a failure of the store, late heartbeats don't count against targets.
 constexpr Duration HeartbeatsTrustedAfter = Seconds(5);
 
-// After an interval of this length the newest records are read instead of all records written meanwhile.
+// After an interval of this length the newest records are read instead of all records written during the interval.
 constexpr Duration RereadAfter = Seconds(4);
 
 // How many other processes are queried for a list, one after the other, before the store is read.
@@ -155,7 +155,7 @@
         co_return failure(ErrorKind::PlatformUnavailable, "store: returned a list older than one read before");
     }
     if (snapshot->next < m_targetsNext) {
-        co_return Result<void> {}; // a list that goes further has arrived from elsewhere meanwhile
+        co_return Result<void> {}; // a newer list has arrived from another source during the read
     }
     std::vector<AnnouncedTarget> targets;
     for (const KeyedRecord &record : snapshot->records) {
@@ -249,7 +249,7 @@
         co_return co_await readAllTargets();
     }
     if (page->next < m_targetsNext) {
-        co_return Result<void> {}; // a list that goes further has arrived from elsewhere meanwhile
+        co_return Result<void> {}; // a newer list has arrived from another source during the read
     }
     bool changed = false;
     for (const KeyedRecord &record : page->records) {
--- a/src/net/forwarder.cpp
+++ b/src/net/forwarder.cpp
@@ -33,8 +33,8 @@
 // smaller chance uses budget that other requests could use successfully.
 constexpr double MinHedgeChance = 0.5;
 
-// The delay before a hedge that the budget or the targets didn't allow is tried again. By then another gateway has lent
-// the requested budget, or old attempts have left the window.
+// The delay before a hedge that the budget or the targets didn't allow is tried again. During this time another gateway
+// may lend the requested budget, or old attempts may leave the window.
 constexpr Duration HedgeRetryDelay = Millis(50);
 
 } // namespace
--- a/src/net/memberservice.cpp
+++ b/src/net/memberservice.cpp
@@ -142,9 +142,9 @@
     return response;
 }
 
-// The first member counts even if it contacted this process and not the other way round. Otherwise, after a power loss,
-// the strongest member, through which others join, would wait for seeds that are still down, and so would all processes
-// that rely on it.
+// The first member counts even if it contacted this process and not the other way round. Otherwise the strongest
+// member, through which others join, would wait after a power loss for seeds that are still down. All processes that
+// join through it would wait as well.
 void MemberService::Private::notifyFirstMember(Instant now)
 {
     if (firstMemberKnown || membership->isAlone()) {
--- a/src/net/seedpublisher.cpp
+++ b/src/net/seedpublisher.cpp
@@ -20,7 +20,8 @@
 namespace
 {
 
-// New processes find the other seeds meanwhile, and every call is billed, even a failed one.
+// The delay before a failed registration is repeated. New processes find the other seeds during it, and every call is
+// billed, even a failed one.
 constexpr Duration RegistrationRetryInterval = Seconds(5);
 
 } // namespace
--- a/src/policy/configtable.cpp
+++ b/src/policy/configtable.cpp
@@ -43,8 +43,8 @@
 }
 
 // Returns the stage in which a change is applied. The changes of an edit are applied by stage instead of in their order
-// in the edit, so that only the table after the whole edit has to be consistent: items that refer to others are removed
-// first and set last.
+// in the edit: items that refer to others are removed first and set last. Thus only the table after the whole edit has
+// to be consistent.
 int stageOf(const Change &change)
 {
     const bool refers = std::holds_alternative<Row>(change.item) || std::holds_alternative<Target>(change.item);
--- a/src/policy/fleetclaims.cpp
+++ b/src/policy/fleetclaims.cpp
@@ -127,7 +127,7 @@
     }
     const bool free = pending == 0;
     if (free) {
-        usable = std::max(usable, std::min(wanted, claimed)); // a claim that no other member contests any more
+        usable = std::max(usable, std::min(wanted, claimed)); // no other member contests the claim
     }
     const double maxClaim = std::min(wanted, split.pool - othersClaims(index, kind, split.pool, now));
     if (free && maxClaim > claimed + tolerance) {
--- a/src/policy/logposition.cpp
+++ b/src/policy/logposition.cpp
@@ -85,7 +85,8 @@
     m_newestSeen = now;
 }
 
-// Records are close to expiry when half of those that the log keeps are older than the newest snapshot.
+// Records that no snapshot contains are considered close to expiry when the newest snapshot lies in the older half of
+// the records that the log keeps.
 bool SnapshotSchedule::isNearExpiry(const LogPage &log) const
 {
     return !m_newestAt || m_newest < log.first + (log.next - log.first) / 2;
--- a/src/policy/membership.cpp
+++ b/src/policy/membership.cpp
@@ -56,9 +56,9 @@
 }
 
 // Without this, a process that was paused or starved of CPU time would find its probes without responses and its
-// suspects' deadlines expired, and would suspect many members that responded in time as soon as it resumes. The time of
+// suspects' deadlines expired when it resumes. It would then suspect many members that responded in time. The time of
 // the gap is therefore not counted against any member. After a long gap the process also requests the updates that it
-// missed. If other members declared it dead meanwhile, it learns so from the response to its next probe.
+// missed. If other members declared it dead during the gap, it learns so from the response to its next probe.
 void Membership::handleTickGap(Instant now)
 {
     if (!m_started) {
--- a/src/policy/placementtest.cpp
+++ b/src/policy/placementtest.cpp
@@ -89,7 +89,7 @@
     }));
 }
 
-// Guards against directing callers to proxies that reject them, or that apply rows that are an hour old.
+// Guards against directing callers to proxies that reject them, or whose rows are an hour old.
 TEST(Placement, ineligibleMembersAreAssignedOnlyWithoutBetterOnes)
 {
     CHECK_TRUE(rc::check("eligible before ineligible", [] {
--- a/src/policy/requestplantest.cpp
+++ b/src/policy/requestplantest.cpp
@@ -344,7 +344,7 @@
 
 TEST_GROUP(RequestPlan) {};
 
-// Guards against a request that runs twice, a caller that gets a partial response or that of another request, and an
+// Guards against a request that runs twice, a caller that gets a partial response or another request's response, and an
 // incorrect outcome NotRun.
 TEST(RequestPlan, guaranteesHoldForEveryScheduleOfFaults)
 {
--- a/src/policy/targethealthdecisions.cpp
+++ b/src/policy/targethealthdecisions.cpp
@@ -241,8 +241,8 @@
     stepAll(now);
 }
 
-// Updates every phase from the claims. Must be called whenever claims were ticked: a claim withdrawn in favor of a more
-// severe one no longer counts at the other proxies, so its target must be back in service by then.
+// Updates every phase from the claims. Must be called whenever claims were ticked. A claim withdrawn in favor of a more
+// severe one no longer counts at the other proxies, so its target must be back in service at once.
 void ServiceHealth::Private::stepAll(Instant now)
 {
     for (TargetIndex index = 0; index < targets.size(); ++index) {
