--- a/include/mulberryplank/policy/atmostonceregistry.h
+++ b/include/mulberryplank/policy/atmostonceregistry.h
@@ -58,10 +58,10 @@
 
 enum class AtMostOnceDecisionKind : std::uint8_t {
     Run, // first time: run it, then call finishWithResponse() or finishFailed()
-    Replay, // return `answer` again
+    Replay, // return `response` again
     InProgress, // currently running: RepeatInProgress
     ForwardTo, // process `incarnation` decides; this one must not run it
-    Unknown, // it may have run, and no process can tell: RepeatUnknown
+    Unknown, // no process can determine whether it has run: RepeatUnknown
     KeyReused, // the key belongs to another request: KeyReused
     Full, // no room for another key: RateLimited, not run, retry after `retryAfter`
     KeyRequired, // no key, or one of another form: KeyRequired, with a new token
@@ -75,7 +75,7 @@
 
 struct AtMostOnceDecision {
     AtMostOnceDecisionKind kind = AtMostOnceDecisionKind::Unknown;
-    std::shared_ptr<const StoredResponse> answer; // Replay
+    std::shared_ptr<const StoredResponse> response; // Replay
     Incarnation incarnation = 0; // ForwardTo
     Duration retryAfter {}; // Full
 };
@@ -83,7 +83,7 @@
 struct AtMostOnceSettings {
     Seconds epoch { 60 };
     std::uint32_t epochsValid = 15; // a token can start requests during its epoch and this many more
-    std::uint32_t epochsKept = 5; // a key is kept so many epochs longer than it may start, for repeats of late runs
+    std::uint32_t epochsKept = 5; // epochs that a key is kept after its last possible start, for repeats of late runs
     std::size_t maxKeys = 200'000; // in total
     std::size_t maxKeysPerAccount = 10'000;
     std::size_t maxResponseBytes = 65'536; // a larger response isn't kept, only the fact that there was one
@@ -120,7 +120,7 @@
                              RequestSource source = RequestSource::Caller);
 
     // Ends a Run with the target's complete response.
-    void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse answer);
+    void finishWithResponse(const AccountName &account, std::string_view key, StoredResponse response);
 
     // Ends a failed Run: NotRun frees the key for a new run, Unknown blocks it permanently.
     void finishFailed(const AccountName &account, std::string_view key, Outcome outcome);
@@ -148,7 +148,7 @@
         std::uint64_t fingerprint = 0;
         std::uint64_t sequence = 0; // order of arrival, to break ties
         EntryState state = EntryState::Running;
-        std::shared_ptr<const StoredResponse> answer;
+        std::shared_ptr<const StoredResponse> response;
         Instant forgetAt;
 
         bool operator<(const Entry &other) const;
--- a/include/mulberryplank/policy/budgetloan.h
+++ b/include/mulberryplank/policy/budgetloan.h
@@ -9,14 +9,14 @@
 {
 
 // The borrower's side of loans between processes that each hold a share of one budget (WindowBudget). A process has at
-// most one request to one other process outstanding. A response counts once, and only if it arrives soon after
-// its request. Lost, repeated or delayed messages therefore never let the fleet spend more than was lent.
+// most one outstanding request, to one other process. A response counts once, and only if it arrives soon after its
+// request. Lost, repeated or delayed messages therefore never let the fleet spend more than was lent.
 // Thread-compatible.
 class BudgetLoan
 {
 public:
     // Returns the number of a new request, or nothing while another request awaits its response.
-    std::optional<std::uint64_t> ask(Instant now);
+    std::optional<std::uint64_t> startRequest(Instant now);
 
     // Accepts the response to request `number`. Returns the time until which the loan may be spent, or nothing if the
     // response doesn't count.
--- a/include/mulberryplank/policy/logposition.h
+++ b/include/mulberryplank/policy/logposition.h
@@ -37,7 +37,7 @@
 LogCheckResult checkLog(Offset applied, const RecordDigest &last, LogPage page);
 
 // Decides when a snapshot has to be published. The log keeps records for a limited time, so records and snapshots both
-// expire; a proxy that starts after that would find neither. Not synchronized.
+// expire; a proxy that starts after that would find neither. Thread-compatible.
 class SnapshotSchedule
 {
 public:
@@ -48,7 +48,7 @@
 
     explicit SnapshotSchedule(Settings settings);
 
-    // Records that a complete snapshot at `next` exists, the last part of which is record `at` of its stream. Calling
+    // Records that a complete snapshot at `next` exists. Its last part is record `at` of the snapshots' stream. Calling
     // it again with the same `at` doesn't count as a renewal.
     void seen(Offset next, Offset at, Instant now);
 
--- a/src/net/largeconfigurationtest.cpp
+++ b/src/net/largeconfigurationtest.cpp
@@ -1,4 +1,4 @@
-// Failure: a gateway uses an old configuration for more than ten seconds while its link is saturated.
+// Guards against a gateway that uses an old configuration for more than ten seconds while its link is saturated.
 #include "mulberryplank/net/discoveryclient.h"
 
 #include <charconv>
@@ -37,8 +37,8 @@
     settings.retryInterval = Millis(25);
     settings.catchUpDelay = Millis(15);
     settings.configurationInterval = Seconds(1);
-    settings.storeRetry.first = Millis(25);
-    settings.storeRetry.most = Millis(50);
+    settings.storeRetry.initialDelay = Millis(25);
+    settings.storeRetry.maxDelay = Millis(50);
     return settings;
 }
 
@@ -245,7 +245,7 @@
     CHECK_TRUE(steps < Bound);
 }
 
-// Failure: while the configuration changes repeatedly, no version is put in force.
+// Guards against a configuration that changes repeatedly, of which no version is put in force.
 TEST(LargeConfiguration, changesInQuickSuccessionAreInForceInTime)
 {
     ReaderAndFollower fleet;
