--- a/include/mulberryplank/net/discoveryclient.h
+++ b/include/mulberryplank/net/discoveryclient.h
@@ -51,7 +51,7 @@
     Duration listTimeout = Millis(200); // after which another process is queried as well
     Duration retryInterval = Millis(250); // after a failed read, before any source is queried again
     StoreRetrySettings storeRetry; // when the store itself may be called again
-    Duration hintLifetime = Seconds(1); // after which a hint no longer accounts for the store's recovery
+    Duration hintLifetime = Seconds(1); // time after a hint for which the store's recovery counts as known
     Duration returnGrace = Seconds(2); // how long live targets have after the store's recovery to be listed again
     Duration catchUpDelay = Millis(150); // for a read in progress to return what another process already has
 };
--- a/include/mulberryplank/net/seedpublisher.h
+++ b/include/mulberryplank/net/seedpublisher.h
@@ -14,7 +14,7 @@
 
 struct SeedPublisherSettings {
     // The number of processes of each failure domain that are registered in the store. A new process finds no other one
-    // only if all of them have stopped at once; the processes that replace them then find it.
+    // only if all of them have stopped at once. It finds the processes that replace them when it reads the seeds again.
     std::size_t seedsPerDomain = 3;
     Duration interval = Seconds(1); // between two checks of the members
     // From the start until most members are known. Before that, no process registers itself.
